--- a/pkg/controller/recruits.go
+++ b/pkg/controller/recruits.go
@@ -61,9 +61,9 @@
 		return
 	}
 	status := s.core.Status()
-	change := recruiter.Decide(recruiter.Picture{
+	change := recruiter.Decide(recruiter.View{
 		Self: status.ID, Now: now, Config: status.Config, Commit: status.Commit, Match: status.Match,
-		HeardAt: status.HeardAt, Candidates: r.candidates,
+		HeardAt: status.HeardAt, JoinRequests: r.candidates,
 	})
 	if change.Action == recruiter.NoChange {
 		return
--- a/pkg/gatekeeper/explain_test.go
+++ b/pkg/gatekeeper/explain_test.go
@@ -17,11 +17,11 @@
 // Each cause is injected, the request is made, and the sentence from the logs must name the cause.
 func TestLogsNameTheCause(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	card := router.RouteFields{Name: "card", Service: "card", Attempts: 2, Timeout: 300 * time.Millisecond}
+	card := router.RouteFields{Name: "card", Service: "card", MaxAttempts: 2, Timeout: 300 * time.Millisecond}
 	safe := card
 	safe.Idempotent = true
 	sweep := router.RouteFields{
-		Name: "sweep", Shards: []string{"s1", "s2", "s3", "s4"}, Attempts: 2, Idempotent: true, Objective: 120 * time.Millisecond,
+		Name: "sweep", Shards: []string{"s1", "s2", "s3", "s4"}, MaxAttempts: 2, Idempotent: true, Objective: 120 * time.Millisecond,
 		Timeout: 300 * time.Millisecond, TopRecords: 2, MinCoverage: 0.75,
 	}
 	all := func(handle http.HandlerFunc) map[int]http.HandlerFunc {
--- a/pkg/gatekeeper/fleet_connections.go
+++ b/pkg/gatekeeper/fleet_connections.go
@@ -69,8 +69,8 @@
 // connections returns how many connections a leaf of the service takes from all instances.
 func (f *fleet) connections(name string) int {
 	if f.table != nil {
-		if fields, ok := f.table.Service(name); ok && fields.Connections > 0 {
-			return fields.Connections
+		if fields, ok := f.table.Service(name); ok && fields.MaxConnections > 0 {
+			return fields.MaxConnections
 		}
 	}
 	return defaultConnections
@@ -111,7 +111,7 @@
 		return nil
 	}
 	var pools []*exchanger.Pool
-	for _, name := range f.table.Targets() {
+	for _, name := range f.table.TargetServices() {
 		s := f.services[name]
 		if s == nil {
 			continue
--- a/pkg/gatekeeper/fleet_connections_test.go
+++ b/pkg/gatekeeper/fleet_connections_test.go
@@ -70,7 +70,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tier := newTier(t, "card")
-			tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+			tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 			c.run(tier)
 			if pools := tier.gate.fleet.coldPools(); len(pools) != c.want {
 				t.Errorf("%d leafs get a connection ahead, want %d", len(pools), c.want)
--- a/pkg/gatekeeper/fleet_observations.go
+++ b/pkg/gatekeeper/fleet_observations.go
@@ -35,8 +35,8 @@
 		return
 	}
 	f.tell(spreader.Observation{
-		Leaf: leaf.Fields().ID, Slowness: observation.Slowness, Faults: observation.Faults, Slow: observation.IsSlow,
-		SlowFor: observation.SlowFor, SeenAt: observation.SeenAt, Gone: observation.IsGone,
+		Leaf: leaf.Fields().ID, Slowness: observation.Slowness, FailureRate: observation.Faults, IsSlow: observation.IsSlow,
+		SlowFor: observation.SlowFor, SeenAt: observation.SeenAt, IsGone: observation.IsGone,
 	})
 }
 
@@ -52,12 +52,12 @@
 			continue
 		}
 		turned := m.leaf.Take(placer.Observation{
-			Slowness: s.Slowness, Faults: s.Faults, IsSlow: s.Slow, SlowFor: s.SlowFor, SeenAt: s.SeenAt,
-			IsGone: s.Gone,
+			Slowness: s.Slowness, Faults: s.FailureRate, IsSlow: s.IsSlow, SlowFor: s.SlowFor, SeenAt: s.SeenAt,
+			IsGone: s.IsGone,
 		})
 		if turned {
-			f.log.Info("gatekeeper: leaf believed by observation", "leaf", s.Leaf, "service", m.leaf.Fields().Service, "slow", s.Slow, "gone", s.Gone,
-				"slowness", s.Slowness, "faults", s.Faults, "slow-for-ms", s.SlowFor.Milliseconds(), "age-ms", (now - s.SeenAt).Milliseconds())
+			f.log.Info("gatekeeper: leaf believed by observation", "leaf", s.Leaf, "service", m.leaf.Fields().Service, "slow", s.IsSlow, "gone", s.IsGone,
+				"slowness", s.Slowness, "faults", s.FailureRate, "slow-for-ms", s.SlowFor.Milliseconds(), "age-ms", (now - s.SeenAt).Milliseconds())
 		}
 	}
 }
@@ -65,7 +65,7 @@
 // tellSilent passes on that an instance which gathers shards is silent: the others would each find out with a late query.
 func (f *fleet) tellSilent(instance string) {
 	if f.tell != nil {
-		f.tell(spreader.Observation{Leaf: instancePrefix + instance, Gone: true, SeenAt: f.now()})
+		f.tell(spreader.Observation{Leaf: instancePrefix + instance, IsGone: true, SeenAt: f.now()})
 	}
 }
 
--- a/pkg/gatekeeper/fleet_observations_test.go
+++ b/pkg/gatekeeper/fleet_observations_test.go
@@ -17,9 +17,9 @@
 	var out lockedBuffer
 	lines := recorder.New(&out)
 	tier.gate.fleet.log = lines.Logger("entry", "info")
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	tier.gate.TakeObservations([]spreader.Observation{
-		{Leaf: "card-0", Slowness: 1, Faults: 0.6, SeenAt: tier.gate.config.Now()}, {Leaf: "unknown", Faults: 1},
+		{Leaf: "card-0", Slowness: 1, FailureRate: 0.6, SeenAt: tier.gate.config.Now()}, {Leaf: "unknown", FailureRate: 1},
 	})
 	for range 5 {
 		if response, _ := tier.ask(http.MethodGet, "/p/x", nil); response == nil || response.StatusCode != http.StatusOK {
@@ -52,11 +52,11 @@
 			told := make(chan spreader.Observation, 4)
 			tier.gate.fleet.tell = func(s spreader.Observation) { told <- s }
 			tier.gate.fleet.badShare = c.badShare
-			tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+			tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 			tier.ask(http.MethodGet, "/p/x", nil)
 			select {
 			case s := <-told:
-				if !c.want || s.Leaf != "card-0" || s.Faults < 0.2 {
+				if !c.want || s.Leaf != "card-0" || s.FailureRate < 0.2 {
 					t.Errorf("told %+v", s)
 				}
 			case <-time.After(100 * time.Millisecond):
--- a/pkg/gatekeeper/gatekeeper.go
+++ b/pkg/gatekeeper/gatekeeper.go
@@ -154,7 +154,7 @@
 		return
 	}
 	g.setTable(table)
-	g.config.Log.Info("gatekeeper: routes in force", "version", table.Version(), "routes", table.Routes(), "revision", view.Revision())
+	g.config.Log.Info("gatekeeper: routes in force", "version", table.Version(), "routes", table.RouteCount(), "revision", view.Revision())
 }
 
 func (g *Gatekeeper) setTable(table *router.Table) {
@@ -243,7 +243,7 @@
 }
 
 func bodyLimit(table *router.Table) int {
-	if limit := table.Limits().BodyBytes; limit > 0 {
+	if limit := table.Limits().MaxBodyBytes; limit > 0 {
 		return limit
 	}
 	return defaultBody
--- a/pkg/gatekeeper/gatekeeper_test.go
+++ b/pkg/gatekeeper/gatekeeper_test.go
@@ -143,7 +143,7 @@
 	for _, leaf := range tier.leafs {
 		if !seen[leaf.service] {
 			seen[leaf.service] = true
-			services = append(services, router.ServiceFields{Name: leaf.service, Connections: 10})
+			services = append(services, router.ServiceFields{Name: leaf.service, MaxConnections: 10})
 		}
 	}
 	table, err := router.Build(1, []router.RouteFields{fields}, services, router.Limits{})
@@ -222,7 +222,7 @@
 			for i, handle := range c.leafs {
 				tier.leafs[i].set(handle)
 			}
-			tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 2, Idempotent: c.idempotent})
+			tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 2, Idempotent: c.idempotent})
 			response, body := tier.ask(http.MethodPost, "/p/x", []byte("b"))
 			if response == nil || response.StatusCode != c.status {
 				t.Fatalf("got %v, want status %d", response, c.status)
@@ -268,7 +268,7 @@
 				})
 			}
 			tier.route(router.RouteFields{
-				Name: "card", Service: "card", Attempts: 2, Idempotent: c.idempotent, Objective: 100 * time.Millisecond, Timeout: 400 * time.Millisecond,
+				Name: "card", Service: "card", MaxAttempts: 2, Idempotent: c.idempotent, Objective: 100 * time.Millisecond, Timeout: 400 * time.Millisecond,
 			})
 			begun := time.Now()
 			response, _ := tier.ask(http.MethodPost, "/p/x", nil)
@@ -290,7 +290,7 @@
 	for _, leaf := range tier.leafs[:2] {
 		leaf.set(shed)
 	}
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 3})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 3})
 	if response, _ := tier.ask(http.MethodPost, "/p/x", nil); response == nil || response.StatusCode != http.StatusOK {
 		t.Errorf("got %v, want the answer of the third leaf", response)
 	}
@@ -303,7 +303,7 @@
 		content, _ := io.ReadAll(r.Body)
 		target, body, custom, connection = r.Method+" "+r.RequestURI, string(content), r.Header.Get("X-Custom"), r.Header.Get("X-Hop")
 	})
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	conn, err := net.Dial("tcp", tier.address)
 	if err != nil {
 		t.Fatal(err)
@@ -321,7 +321,7 @@
 
 func TestReusedAddressDoesNotRunTheRequest(t *testing.T) {
 	tier := newTier(t, "card", "card")
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 2})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 2})
 	tier.leafs[0].id = "somebody-else"
 	for range 5 {
 		if response, _ := tier.ask(http.MethodPost, "/p/x", nil); response == nil || response.StatusCode != http.StatusOK {
@@ -340,7 +340,7 @@
 		begun <- true
 		<-r.Context().Done()
 	})
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	conn, err := net.Dial("tcp", tier.address)
 	if err != nil {
 		t.Fatal(err)
@@ -366,7 +366,7 @@
 	if response, _ := tier.ask(http.MethodGet, "/p/x", nil); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 		t.Errorf("without routes: %v", response)
 	}
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	if response, _ := tier.ask(http.MethodGet, "/other", nil); response.StatusCode != http.StatusNotFound {
 		t.Errorf("without a route: %v", response)
 	}
@@ -374,7 +374,7 @@
 
 func TestDrainingAnswersCloseTheirConnection(t *testing.T) {
 	tier := newTier(t, "card")
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	if !tier.gate.Ready() {
 		t.Fatal("not ready")
 	}
@@ -391,7 +391,7 @@
 // the answer closes the connection.
 func TestDrainingServesKeptConnections(t *testing.T) {
 	tier := newTier(t, "card")
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	conn, err := net.Dial("tcp", tier.address)
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/gatekeeper/plain.go
+++ b/pkg/gatekeeper/plain.go
@@ -29,7 +29,7 @@
 		gate    *Gatekeeper
 		in      *inbound
 		service string
-		course  *gatherer.Course
+		course  *gatherer.Execution
 		tried   []*placer.Leaf
 		// arrived tells that a request reached a leaf: another one counts as repeated.
 		arrived  bool
@@ -55,7 +55,7 @@
 	defer timer.Stop()
 	for {
 		now := g.config.Now()
-		switch f.course.Verdict(now) {
+		switch f.course.Decide(now) {
 		case gatherer.Exhausted:
 			f.fail(w)
 			return
@@ -63,12 +63,12 @@
 			f.timeOut(w)
 			return
 		}
-		if len(f.course.Late(now)) > 0 {
+		if len(f.course.ShardsToHedge(now)) > 0 {
 			g.fleet.silent(f.attempts)
 			f.arrived = true
 			f.ask(needSound)
 		}
-		timer.Reset(f.course.Wake(now) - now)
+		timer.Reset(f.course.NextCheck(now) - now)
 		select {
 		case end := <-f.ends:
 			if f.onEnd(w, end) {
@@ -85,14 +85,14 @@
 
 func (g *Gatekeeper) newForward(in *inbound) *forward {
 	g.fleet.mu.Lock()
-	service := in.route.Service(g.fleet.random.Float64())
+	service := in.route.PickService(g.fleet.random.Float64())
 	g.fleet.mu.Unlock()
 	g.fleet.countRequest([]string{service})
 	now := g.config.Now()
 	giveUp := now + time.Until(in.giveUpAt())
 	plan := gatherer.Plan{
-		Shards: 1, MinParts: 1, Attempts: in.route.Attempts(), Once: !in.route.Idempotent(),
-		HedgeAfter: g.hedgeDelay(in), Due: giveUp, LateUntil: giveUp, GiveUp: giveUp,
+		Shards: 1, MinParts: 1, MaxAttempts: in.route.MaxAttempts(), ForbidsHedging: !in.route.Idempotent(),
+		HedgeDelay: g.hedgeDelay(in), SoftDeadline: giveUp, LateDeadline: giveUp, Deadline: giveUp,
 	}
 	return &forward{
 		gate: g, in: in, service: service, course: gatherer.New(plan), ends: make(chan exchangeEnd, maxForwards),
--- a/pkg/gatekeeper/scatter.go
+++ b/pkg/gatekeeper/scatter.go
@@ -32,7 +32,7 @@
 	query struct {
 		gate   *Gatekeeper
 		in     *inbound
-		course *gatherer.Course
+		course *gatherer.Execution
 		shards []string
 		tried  [][]*placer.Leaf
 		// ran holds, for each shard, the leafs that may have run the request.
@@ -74,12 +74,12 @@
 	defer timer.Stop()
 	for {
 		now := g.config.Now()
-		if verdict := q.course.Verdict(now); verdict != gatherer.Continue {
+		if verdict := q.course.Decide(now); verdict != gatherer.Continue {
 			q.answer(w, verdict)
 			return
 		}
 		q.hedge(now)
-		timer.Reset(q.course.Wake(now) - now)
+		timer.Reset(q.course.NextCheck(now) - now)
 		select {
 		case end := <-q.ends:
 			q.onEnd(end)
@@ -103,9 +103,9 @@
 	due := at(in.arrived.Add(objective - g.config.Travel - mergeMargin))
 	giveUp := at(in.giveUpAt())
 	plan := gatherer.Plan{
-		Shards: len(shards), MinParts: in.route.MinParts(), Attempts: in.route.Attempts(),
-		HedgeAfter: g.hedgeDelay(in), Due: min(due, giveUp),
-		LateUntil: min(giveUp, at(in.arrived.Add(lateFactor*objective))), GiveUp: giveUp,
+		Shards: len(shards), MinParts: in.route.MinParts(), MaxAttempts: in.route.MaxAttempts(),
+		HedgeDelay: g.hedgeDelay(in), SoftDeadline: min(due, giveUp),
+		LateDeadline: min(giveUp, at(in.arrived.Add(lateFactor*objective))), Deadline: giveUp,
 		RetryUntil: giveUp,
 	}
 	return g.queryOf(in, plan)
@@ -117,7 +117,7 @@
 	return &query{
 		gate: g, in: in, course: gatherer.New(plan), plan: plan, shards: shards, tried: make([][]*placer.Leaf, len(shards)),
 		ran: make([][]*placer.Leaf, len(shards)), arrived: make([]bool, len(shards)), slices: make([]*handedSlice, len(shards)),
-		ends: make(chan exchangeEnd, len(shards)*in.route.Attempts()), reports: make(chan sliceReport, len(shards)),
+		ends: make(chan exchangeEnd, len(shards)*in.route.MaxAttempts()), reports: make(chan sliceReport, len(shards)),
 		top:   gatherer.NewTop(in.route.TopRecords()),
 		meter: exchanger.NewMeter(int64(queryShare*float64(g.config.HeldBytes)), g.held),
 	}
@@ -125,12 +125,12 @@
 
 // hedge asks late shards again, and those whose pause is over.
 func (q *query) hedge(now time.Duration) {
-	for _, shard := range q.withoutSilentSlices(q.course.Late(now)) {
+	for _, shard := range q.withoutSilentSlices(q.course.ShardsToHedge(now)) {
 		q.gate.fleet.silent(q.running(shard))
 		q.arrived[shard] = true
 		q.ask(shard, q.hedgeNeed(now))
 	}
-	for _, shard := range q.course.PauseOver(now) {
+	for _, shard := range q.course.ShardsToRetry(now) {
 		q.tried[shard] = slices.Clone(q.ran[shard])
 		q.ask(shard, needAny)
 	}
@@ -225,7 +225,7 @@
 	}
 }
 
-func (q *query) answer(w http.ResponseWriter, verdict gatherer.Verdict) {
+func (q *query) answer(w http.ResponseWriter, verdict gatherer.Decision) {
 	g := q.gate
 	took := time.Since(q.in.arrived)
 	missing := len(q.shards) - q.course.Parts()
@@ -281,7 +281,7 @@
 	left := 0
 	for shard, name := range q.shards {
 		switch {
-		case q.course.Done(shard):
+		case q.course.HasPart(shard):
 		case len(missing) < namedMissing:
 			missing = append(missing, name+"("+q.asked(shard)+")")
 		default:
--- a/pkg/gatekeeper/scatter_ask.go
+++ b/pkg/gatekeeper/scatter_ask.go
@@ -34,11 +34,11 @@
 			inTime++
 		case a == nil:
 			q.course.OnDenied(shard, q.gate.config.Now())
-		case a.begun+a.expected <= q.plan.Due:
+		case a.begun+a.expected <= q.plan.SoftDeadline:
 			inTime++
 		}
 	}
-	q.course.Expect(inTime)
+	q.course.SetExpectedParts(inTime)
 	for shard, a := range placed {
 		if a != nil {
 			q.send(shard, a)
@@ -100,7 +100,7 @@
 // onDenied lets the shard be tried again later, unless all its leafs have run the request already.
 func (q *query) onDenied(shard int, need need, why denial) {
 	if need == needAny && why == denialNoLeaf && len(q.tried[shard]) == len(q.ran[shard]) {
-		q.course.OnLost(shard)
+		q.course.OnExhausted(shard)
 		return
 	}
 	q.course.OnDenied(shard, q.gate.config.Now())
@@ -109,7 +109,7 @@
 // hedgeNeed returns which leafs will do for a second request: sound ones, and any that has room once the answer is late
 // and cannot do without the shard.
 func (q *query) hedgeNeed(now time.Duration) need {
-	if q.course.AtRisk(now) {
+	if q.course.IsOverdue(now) {
 		return needReady
 	}
 	return needSound
@@ -138,7 +138,7 @@
 	q.course.OnSent(shard, q.gate.config.Now())
 	request := q.in.request
 	request.Meter, request.MaxAnswer = q.meter, partLimit(q.in.route.TopRecords())
-	request.Deadline = time.Now().Add(q.course.AttemptUntil(shard, q.gate.config.Now()) - q.gate.config.Now())
+	request.Deadline = time.Now().Add(q.course.AttemptDeadline(shard, q.gate.config.Now()) - q.gate.config.Now())
 	a.ticket = a.upstream.pool.Start(&request, func(result exchanger.Result) {
 		q.ends <- exchangeEnd{shard: shard, attempt: a, result: result}
 	})
--- a/pkg/gatekeeper/scatter_slices.go
+++ b/pkg/gatekeeper/scatter_slices.go
@@ -46,7 +46,7 @@
 
 // groupByInstance returns the shards that other instances should gather, by instance.
 func (q *query) groupByInstance() map[string][]int {
-	if q.plan.Slice || !q.in.route.Idempotent() {
+	if q.plan.IsSlice || !q.in.route.Idempotent() {
 		return nil
 	}
 	return q.gate.fleet.gatherersOf(q.shards)
@@ -93,7 +93,7 @@
 		}
 		for _, shard := range shards {
 			q.slices[shard] = s
-			q.course.OnHandedOver(shard, now, until)
+			q.course.OnDelegated(shard, now, until)
 		}
 	}
 }
@@ -113,9 +113,9 @@
 	return aggregator.SliceQuery{
 		ID: q.gate.fleet.nextID(), From: q.gate.config.Instance, Request: q.in.id, Head: q.in.request.Head, Body: q.in.request.Body,
 		RouteName: route.Name(), Host: fields.Host, Prefix: fields.Prefix, Version: q.in.version, Services: services,
-		Attempts: route.Attempts(), Records: route.TopRecords(), MinParts: max(1, len(shards)*route.MinParts()/len(q.shards)),
-		Objective: route.Objective(), Due: q.plan.Due - hopMargin - now, LateUntil: q.plan.LateUntil - hopMargin - now,
-		GiveUp: q.plan.GiveUp - hopMargin - now, CallerLeft: time.Until(q.in.deadline),
+		Attempts: route.MaxAttempts(), Records: route.TopRecords(), MinParts: max(1, len(shards)*route.MinParts()/len(q.shards)),
+		Objective: route.Objective(), Due: q.plan.SoftDeadline - hopMargin - now, LateUntil: q.plan.LateDeadline - hopMargin - now,
+		GiveUp: q.plan.Deadline - hopMargin - now, CallerLeft: time.Until(q.in.deadline),
 	}
 }
 
@@ -157,16 +157,16 @@
 
 // noteOpen takes what is known of the shards of a slice that brought no part yet.
 func (q *query) noteOpen(s *handedSlice, report aggregator.Report, now time.Duration) {
-	until := max(q.plan.Due, now+reportPause) + slicer.Patience(0, reportPause)
+	until := max(q.plan.SoftDeadline, now+reportPause) + slicer.Patience(0, reportPause)
 	for _, open := range report.Open {
 		if open.Shard < 0 || open.Shard >= len(s.shards) {
 			continue
 		}
 		shard := s.shards[open.Shard]
 		s.open[shard] = open.Leafs
-		q.course.OnGranted(shard, until)
+		q.course.OnGrantSent(shard, until)
 		if open.Lost {
-			q.course.OnLost(shard)
+			q.course.OnExhausted(shard)
 		}
 	}
 }
@@ -175,8 +175,8 @@
 func (q *query) endSlice(s *handedSlice) {
 	s.over = true
 	for _, shard := range s.shards {
-		if !q.course.Done(shard) {
-			q.course.OnLost(shard)
+		if !q.course.HasPart(shard) {
+			q.course.OnExhausted(shard)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	q.gate.config.Log.Info("gatekeeper: slice taken back", "request", q.in.id, "peer", s.call.Instance(), "cause", cause, "ran", ran,
 		"shards", len(s.shards), "after-ms", (q.gate.config.Now() - s.begun).Milliseconds())
 	for _, shard := range s.shards {
-		if q.course.Done(shard) {
+		if q.course.HasPart(shard) {
 			continue
 		}
 		q.slices[shard] = nil
--- a/pkg/gatekeeper/scatter_test.go
+++ b/pkg/gatekeeper/scatter_test.go
@@ -39,7 +39,7 @@
 				}
 			}
 			tier.route(router.RouteFields{
-				Name: "sweep", Shards: shards, Attempts: 2, Idempotent: true, Objective: 150 * time.Millisecond, TopRecords: 2, MinCoverage: 0.75,
+				Name: "sweep", Shards: shards, MaxAttempts: 2, Idempotent: true, Objective: 150 * time.Millisecond, TopRecords: 2, MinCoverage: 0.75,
 			})
 			response, body := tier.ask(http.MethodGet, "/p/x", nil)
 			if response == nil || response.StatusCode != c.status {
@@ -76,7 +76,7 @@
 		})
 	}
 	tier.route(router.RouteFields{
-		Name: "sweep", Shards: []string{"s1"}, Attempts: 2, Idempotent: true, Objective: 300 * time.Millisecond, TopRecords: 1, MinCoverage: 1,
+		Name: "sweep", Shards: []string{"s1"}, MaxAttempts: 2, Idempotent: true, Objective: 300 * time.Millisecond, TopRecords: 1, MinCoverage: 1,
 	})
 	begun := time.Now()
 	response, _ := tier.ask(http.MethodGet, "/p/x", nil)
@@ -99,7 +99,7 @@
 		})
 	}
 	tier.route(router.RouteFields{
-		Name: "sweep", Shards: []string{"s1", "s2"}, Attempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
+		Name: "sweep", Shards: []string{"s1", "s2"}, MaxAttempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
 	})
 	if response, _ := tier.ask(http.MethodGet, "/p/x", nil); response == nil || response.StatusCode != http.StatusOK {
 		t.Errorf("got %v, want the answer of both shards", response)
@@ -111,7 +111,7 @@
 	tier := newTier(t, "s1", "s2")
 	tier.leafs[0].set(status(http.StatusInternalServerError))
 	tier.route(router.RouteFields{
-		Name: "sweep", Shards: []string{"s1", "s2"}, Attempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
+		Name: "sweep", Shards: []string{"s1", "s2"}, MaxAttempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
 	})
 	began := time.Now()
 	if response, _ := tier.ask(http.MethodGet, "/p/x", nil); response == nil || response.StatusCode != http.StatusBadGateway {
@@ -127,7 +127,7 @@
 	tier := newTier(t, "s1", "s2", "s3", "s4")
 	left := tier.leafs[:2]
 	tier.route(router.RouteFields{
-		Name: "sweep", Shards: []string{"s1", "s2", "s3", "s4"}, Attempts: 2, Idempotent: true, Objective: 500 * time.Millisecond,
+		Name: "sweep", Shards: []string{"s1", "s2", "s3", "s4"}, MaxAttempts: 2, Idempotent: true, Objective: 500 * time.Millisecond,
 		TopRecords: 2, MinCoverage: 0.75,
 	})
 	tier.leafs = left
@@ -157,7 +157,7 @@
 	tier.gate.fleet.budget = hedger.SharedBound{Ratio: 0.2, Window: 10 * time.Second}
 	_ = tier.leafs[0].server.Close()
 	tier.route(router.RouteFields{
-		Name: "sweep", Shards: []string{"s1", "s2"}, Attempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
+		Name: "sweep", Shards: []string{"s1", "s2"}, MaxAttempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
 	})
 	for range queries {
 		if response, _ := tier.ask(http.MethodGet, "/p/x", nil); response == nil || response.StatusCode == http.StatusOK {
--- a/pkg/gatekeeper/slice.go
+++ b/pkg/gatekeeper/slice.go
@@ -112,7 +112,7 @@
 	now := g.config.Now()
 	route := router.NewRoute(router.RouteFields{
 		Name: query.RouteName, Host: query.Host, Prefix: query.Prefix, Idempotent: true, Timeout: query.GiveUp,
-		Objective: query.Objective, Attempts: query.Attempts, Shards: query.Services, TopRecords: query.Records,
+		Objective: query.Objective, MaxAttempts: query.Attempts, Shards: query.Services, TopRecords: query.Records,
 		MinCoverage: float64(query.MinParts) / float64(len(query.Services)),
 	})
 	deadline := time.Now().Add(query.CallerLeft)
@@ -121,13 +121,13 @@
 		request: exchanger.Request{ID: query.Request, Head: query.Head, Body: query.Body, Deadline: deadline},
 	}
 	plan := gatherer.Plan{
-		Shards: len(query.Services), MinParts: route.MinParts(), Attempts: route.Attempts(), Slice: true,
-		HedgeAfter: g.hedgeDelay(in), Due: now + query.Due, LateUntil: now + query.LateUntil, GiveUp: now + query.GiveUp,
+		Shards: len(query.Services), MinParts: route.MinParts(), MaxAttempts: route.MaxAttempts(), IsSlice: true,
+		HedgeDelay: g.hedgeDelay(in), SoftDeadline: now + query.Due, LateDeadline: now + query.LateUntil, Deadline: now + query.GiveUp,
 		RetryUntil: now + query.GiveUp,
 	}
 	return &slice{
 		query: g.queryOf(in, plan), id: query.Name(), set: g.slices, stop: make(chan bool, 1), granted: make(chan struct{}, 1), ready: make(chan struct{}, 1),
-		reportAt: min(now+plan.HedgeAfter, plan.Due), leftAt: now,
+		reportAt: min(now+plan.HedgeDelay, plan.SoftDeadline), leftAt: now,
 	}
 }
 
@@ -150,7 +150,7 @@
 	defer timer.Stop()
 	for {
 		now := q.gate.config.Now()
-		if q.course.Verdict(now) != gatherer.Continue {
+		if q.course.Decide(now) != gatherer.Continue {
 			s.report(now, true)
 			return
 		}
@@ -163,13 +163,13 @@
 		if now >= s.reportAt || !s.reported && q.course.NeedsGrant() {
 			s.report(now, false)
 		}
-		timer.Reset(min(q.course.Wake(now), max(s.reportAt, now)) - now)
+		timer.Reset(min(q.course.NextCheck(now), max(s.reportAt, now)) - now)
 		select {
 		case end := <-q.ends:
 			s.onEnd(end)
 			s.drainEnds()
 		case <-s.granted:
-			for _, shard := range q.course.OnGrant() {
+			for _, shard := range q.course.OnGrantReceived() {
 				q.ask(shard, needAny)
 			}
 		case <-timer.C:
@@ -180,9 +180,9 @@
 }
 
 func (s *slice) onEnd(end exchangeEnd) {
-	done := s.query.course.Done(end.shard)
+	done := s.query.course.HasPart(end.shard)
 	s.query.onEnd(end)
-	if !done && s.query.course.Done(end.shard) {
+	if !done && s.query.course.HasPart(end.shard) {
 		s.parts = append(s.parts, end.shard)
 	}
 }
@@ -210,9 +210,9 @@
 	s.mu.Unlock()
 	s.parts, q.proofs, q.top = nil, nil, gatherer.NewTop(q.in.route.TopRecords())
 	s.reported = true
-	s.reportAt = max(q.plan.Due, now+reportPause)
-	if now < q.plan.Due {
-		s.reportAt = q.plan.Due
+	s.reportAt = max(q.plan.SoftDeadline, now+reportPause)
+	if now < q.plan.SoftDeadline {
+		s.reportAt = q.plan.SoftDeadline
 	}
 	select {
 	case s.ready <- struct{}{}:
@@ -224,9 +224,9 @@
 	q := s.query
 	var open []aggregator.OpenShard
 	for shard := range q.shards {
-		if !q.course.Done(shard) {
+		if !q.course.HasPart(shard) {
 			open = append(open, aggregator.OpenShard{
-				Shard: shard, Leafs: q.asked(shard), Lost: q.course.Lost(shard) && !q.course.NeedsGrant(),
+				Shard: shard, Leafs: q.asked(shard), Lost: q.course.IsExhausted(shard) && !q.course.NeedsGrant(),
 			})
 		}
 	}
--- a/pkg/gatekeeper/slice_test.go
+++ b/pkg/gatekeeper/slice_test.go
@@ -148,7 +148,7 @@
 
 func sweep(shards []string) router.RouteFields {
 	return router.RouteFields{
-		Name: "sweep", Shards: shards, Attempts: 2, Idempotent: true, Objective: 300 * time.Millisecond, TopRecords: 3, MinCoverage: 0.9,
+		Name: "sweep", Shards: shards, MaxAttempts: 2, Idempotent: true, Objective: 300 * time.Millisecond, TopRecords: 3, MinCoverage: 0.9,
 	}
 }
 
@@ -382,7 +382,7 @@
 	if lost == "entry-2" {
 		other = g.gates[2]
 	}
-	other.TakeObservations([]spreader.Observation{observation, {Leaf: instancePrefix + "nobody", Gone: true, SeenAt: other.config.Now()}})
+	other.TakeObservations([]spreader.Observation{observation, {Leaf: instancePrefix + "nobody", IsGone: true, SeenAt: other.config.Now()}})
 	for instance := range other.fleet.gatherersOf(shards) {
 		if instance == lost {
 			t.Errorf("%s still gets slices of an instance that was told of its silence", lost)
--- a/pkg/gatekeeper/start_test.go
+++ b/pkg/gatekeeper/start_test.go
@@ -46,7 +46,7 @@
 		answered <- response.StatusCode
 	}()
 	time.Sleep(50 * time.Millisecond)
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	if got := <-answered; got != http.StatusOK {
 		t.Errorf("status %d, want the answer of the leaf", got)
 	}
--- a/pkg/gatekeeper/stop_test.go
+++ b/pkg/gatekeeper/stop_test.go
@@ -38,7 +38,7 @@
 				time.Sleep(100 * time.Millisecond)
 				_, _ = io.WriteString(w, "whole")
 			})
-			tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+			tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 			conn, err := net.Dial("tcp", tier.address)
 			if err != nil {
 				t.Fatal(err)
@@ -78,7 +78,7 @@
 func TestAPlannedStopTakesWhatWaitsToBeAccepted(t *testing.T) {
 	const callers = 40
 	tier := newTier(t, "card")
-	tier.route(router.RouteFields{Name: "card", Service: "card", Attempts: 1})
+	tier.route(router.RouteFields{Name: "card", Service: "card", MaxAttempts: 1})
 	answers := make(chan string, callers)
 	for range callers {
 		conn, err := net.Dial("tcp", tier.address)
--- a/pkg/gatherer/course.go
+++ b/pkg/gatherer/course.go
@@ -1,347 +1,358 @@
-// Course follows one query over a set of shards. It answers early with what it
-// has where waiting for the rest would make the whole answer late, and sends a
-// request again where the first one is late for its kind:
-//
-//	begin    ask every shard once
-//	hedge    a shard that is silent for longer than is usual is asked again, elsewhere
-//	due      the answer leaves now to be in time; enough parts make an answer
-//	give up  the caller stops waiting; enough parts make a late answer
-
 package gatherer
 
 import "time"
 
 const (
-	// Continue waits for more.
-	Continue Verdict = iota
-	// Complete answers with all parts.
+	// Continue means that the query keeps waiting for parts.
+	Continue Decision = iota
+	// Complete means that the query answers with the parts of all shards.
 	Complete
-	// Partial answers with the parts that are there.
+	// Partial means that the query answers with the parts received so far, which are at least MinParts.
 	Partial
-	// Exhausted fails: too few parts, and no more can come.
+	// Exhausted means that the query fails because it has too few parts and too few can still arrive.
 	Exhausted
-	// TimedOut fails: too few parts when the time was over.
+	// TimedOut means that the query fails because it had too few parts at its deadline.
 	TimedOut
 )
 
 type (
-	// Verdict says what the query does next.
-	Verdict int
+	// Decision is what the query does next.
+	Decision int
 
-	// Plan is what is fixed when the query begins; times are on the instance's steady clock.
+	// Plan holds the parameters of a query, which do not change while it runs. Points in time are readings of the instance's
+	// monotonic clock.
 	Plan struct {
-		Shards   int
+		// Shards is the number of shards that the query is sent to.
+		Shards int
+		// MinParts is the smallest number of parts that makes an answer. A part is the result of one shard.
 		MinParts int
-		Attempts int
-		// Once forbids a second request of a shard while the first one runs.
-		Once bool
-		// Slice tells that the shards are a part of a query that another instance answers. The course ends only when nothing more
-		// can come, and asks one leaf of each shard until the other instance grants the other attempts: it may have taken the
-		// shards back, and asks their leafs itself.
-		Slice bool
-		// HedgeAfter is how long a shard may be silent before it is asked again.
-		HedgeAfter time.Duration
-		// Due is when an answer must leave to be in time.
-		Due time.Duration
-		// LateUntil is how long a late answer waits for the shards that are missing.
-		LateUntil time.Duration
-		// GiveUp is when the caller, or the route, stops waiting.
-		GiveUp time.Duration
-		// RetryUntil is until when a shard that no leaf could take is tried again after a pause, where the answer needs it.
+		// MaxAttempts is the largest number of attempts for each shard.
+		MaxAttempts int
+		// ForbidsHedging rules out a second attempt for a shard while the first one is in flight.
+		ForbidsHedging bool
+		// IsSlice marks a query over some shards of a query that another instance coordinates and answers. It ends only when all
+		// parts have arrived or no more can. Until the coordinating instance grants further attempts, each shard gets only one,
+		// because that instance may have taken the shards back and be sending to their leafs itself.
+		IsSlice bool
+		// HedgeDelay is the time without an answer after which a shard gets another attempt.
+		HedgeDelay time.Duration
+		// SoftDeadline is the time by which an answer must be sent to meet the objective.
+		SoftDeadline time.Duration
+		// LateDeadline is the time until which an answer that missed the soft deadline waits for the missing shards.
+		LateDeadline time.Duration
+		// Deadline is the time at which the caller stops waiting or the timeout of the route ends.
+		Deadline time.Duration
+		// RetryUntil is the time after which a shard without an attempt in flight is no longer retried when no leaf can take the
+		// request.
 		RetryUntil time.Duration
 	}
 
-	// Course is the state of one query.
-	Course struct {
-		plan   Plan
-		shards []shard
-		parts  int
-		open   int
-		// allowed is how many leafs of a shard may run the request at present.
-		allowed int
-		// expectLate tells that too few parts are expected before the due time.
-		expectLate bool
+	// Execution is the state of one query. It decides when to hedge, when to retry, and when to answer:
+	//
+	//	start          each shard gets one attempt
+	//	hedge delay    a shard without an answer gets another attempt, at another leaf
+	//	soft deadline  an answer with at least MinParts parts is sent, to be in time
+	//	late deadline  an answer that is late is sent with at least MinParts parts
+	//	deadline       the query ends, with an answer if it has MinParts parts and with an error otherwise
+	Execution struct {
+		plan    Plan
+		shards  []shard
+		parts   int
+		missing int
+		// allowedAttempts is the current limit of attempts for each shard, at most one for a slice without a grant.
+		allowedAttempts int
+		// expectsLate is set if fewer than MinParts parts are expected before the soft deadline.
+		expectsLate bool
 	}
 
 	shard struct {
 		done     bool
-		asked    int
-		running  int
+		attempts int
+		inFlight int
 		lastSent time.Duration
-		// handed tells that another instance asks the leafs.
-		handed bool
-		// deniedUntil is when an attempt may be tried again, after no leaf could take it.
-		deniedUntil time.Duration
-		// paused tells that nothing runs for the shard and no leaf could take it; pause is how long it waits then.
-		paused bool
-		pause  time.Duration
-		// lost tells that no further attempt is possible.
-		lost bool
+		// delegated is set while another instance sends the request to the leafs of the shard.
+		delegated bool
+		// notBefore is the earliest time of the next attempt, after one that no leaf could take or, for a delegated shard, while
+		// a report of the other instance is awaited.
+		notBefore time.Duration
+		// backingOff is set while the shard has no attempt in flight and waits for backoff to pass, because no leaf could take
+		// the request.
+		backingOff bool
+		backoff    time.Duration
+		// exhausted is set if no further attempt is possible.
+		exhausted bool
 	}
 )
 
 const (
-	// deniedPause is the time until a second request that no leaf could take is tried again: a leaf that is paced takes
-	// the next request after 50 ms or more.
-	deniedPause = 25 * time.Millisecond
-	// longestPause bounds the pause of a shard, which doubles each time: leafs refuse connections for about a second after a
-	// loss of all instances, and each try may open one.
-	longestPause = 200 * time.Millisecond
-	// crowdShare is the share of shards that are late together under load; leafs that pause or turn slow make a third late.
-	crowdShare = 0.5
+	// minBackoff is the first backoff after no leaf could take an attempt, and the time by which hedges are deferred under load.
+	// A rate-limited leaf takes its next request after 50 ms or more.
+	minBackoff = 25 * time.Millisecond
+	// maxBackoff bounds the backoff of a shard, which doubles each time. Leafs refuse connections for about a second after
+	// all instances were lost, and each attempt may open a connection.
+	maxBackoff = 200 * time.Millisecond
+	// overloadShare is the share of late shards above which the cause is taken to be load. Leafs that pause or become slow
+	// make about a third of the shards late.
+	overloadShare = 0.5
 )
 
-// New returns a course of which nothing was asked yet.
-func New(plan Plan) *Course {
-	allowed := plan.Attempts
-	if plan.Slice {
-		allowed = min(1, allowed)
+// New returns the state of a query that has not sent any request.
+func New(plan Plan) *Execution {
+	allowedAttempts := plan.MaxAttempts
+	if plan.IsSlice {
+		allowedAttempts = min(1, allowedAttempts)
 	}
-	return &Course{plan: plan, shards: make([]shard, plan.Shards), open: plan.Shards, allowed: allowed}
+	return &Execution{plan: plan, shards: make([]shard, plan.Shards), missing: plan.Shards, allowedAttempts: allowedAttempts}
 }
 
-// OnGrant allows all attempts of a slice, and returns the shards that need another one now.
-func (c *Course) OnGrant() []int {
-	if c.allowed >= c.plan.Attempts {
+// OnGrantReceived allows all attempts of a slice and returns the shards that need another attempt now.
+func (e *Execution) OnGrantReceived() []int {
+	if e.allowedAttempts >= e.plan.MaxAttempts {
 		return nil
 	}
-	c.allowed = c.plan.Attempts
-	var again []int
-	for index := range c.shards {
-		s := &c.shards[index]
-		if s.lost && !s.done && s.running == 0 && s.asked < c.allowed {
-			s.lost = false
-			again = append(again, index)
+	e.allowedAttempts = e.plan.MaxAttempts
+	var retry []int
+	for index := range e.shards {
+		s := &e.shards[index]
+		if s.exhausted && !s.done && s.inFlight == 0 && s.attempts < e.allowedAttempts {
+			s.exhausted = false
+			retry = append(retry, index)
 		}
 	}
-	return again
+	return retry
 }
 
-// NeedsGrant tells whether a shard waits for another attempt to be allowed.
-func (c *Course) NeedsGrant() bool {
-	if c.allowed >= c.plan.Attempts {
+// NeedsGrant reports whether a shard of a slice can get another attempt only after a grant.
+func (e *Execution) NeedsGrant() bool {
+	if e.allowedAttempts >= e.plan.MaxAttempts {
 		return false
 	}
-	for index := range c.shards {
-		if s := &c.shards[index]; s.lost && !s.done && s.running == 0 {
+	for index := range e.shards {
+		if s := &e.shards[index]; s.exhausted && !s.done && s.inFlight == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// OnSent notes that a shard was asked.
-func (c *Course) OnSent(index int, now time.Duration) {
-	s := &c.shards[index]
-	s.asked++
-	s.running++
+// OnSent records an attempt for a shard.
+func (e *Execution) OnSent(index int, now time.Duration) {
+	s := &e.shards[index]
+	s.attempts++
+	s.inFlight++
 	s.lastSent = now
 }
 
-// OnHandedOver notes that another instance asks the leafs of a shard, and reports until the given time.
-func (c *Course) OnHandedOver(index int, now, until time.Duration) {
-	c.OnSent(index, now)
-	c.shards[index].handed = true
-	c.shards[index].deniedUntil = until
+// OnDelegated records that another instance sends the request to the leafs of a shard and is expected to report by the
+// given time.
+func (e *Execution) OnDelegated(index int, now, reportBy time.Duration) {
+	e.OnSent(index, now)
+	e.shards[index].delegated = true
+	e.shards[index].notBefore = reportBy
 }
 
-// OnGranted notes that the other instance may use all attempts of a shard, and reports again until the given time.
-func (c *Course) OnGranted(index int, until time.Duration) {
-	s := &c.shards[index]
-	s.asked = c.plan.Attempts
-	s.deniedUntil = until
+// OnGrantSent records that the other instance may use all attempts of a delegated shard and is expected to report again by the
+// given time.
+func (e *Execution) OnGrantSent(index int, reportBy time.Duration) {
+	s := &e.shards[index]
+	s.attempts = e.plan.MaxAttempts
+	s.notBefore = reportBy
 }
 
-// OnPart notes a part and tells whether it counts: the first of its shard does.
-func (c *Course) OnPart(index int) bool {
-	s := &c.shards[index]
-	s.running--
+// OnPart records a part of a shard and reports whether it is the first one, which alone goes into the answer.
+func (e *Execution) OnPart(index int) bool {
+	s := &e.shards[index]
+	s.inFlight--
 	if s.done {
 		return false
 	}
 	s.done = true
-	c.parts++
-	c.open--
+	e.parts++
+	e.missing--
 	return true
 }
 
-// OnFailure notes a request that brought no part, and tells whether the shard needs another attempt; one that no leaf
-// ran counts as none.
-func (c *Course) OnFailure(index int, ran bool) bool {
-	s := &c.shards[index]
-	s.running--
-	s.handed = false
+// OnFailure records an attempt that ended without a part and reports whether the shard needs another one. An attempt that no
+// leaf ran does not count towards the limit.
+func (e *Execution) OnFailure(index int, ran bool) bool {
+	s := &e.shards[index]
+	s.inFlight--
+	s.delegated = false
 	if !ran {
-		s.asked--
+		s.attempts--
 	}
-	if s.done || s.running > 0 {
+	if s.done || s.inFlight > 0 {
 		return false
 	}
-	s.lost = s.asked >= c.allowed
-	return !s.lost
+	s.exhausted = s.attempts >= e.allowedAttempts
+	return !s.exhausted
 }
 
-// OnDenied notes that no leaf could take an attempt, or that the budget is used up. It is tried again after a pause, which
-// grows where no earlier attempt runs.
-func (c *Course) OnDenied(index int, now time.Duration) {
-	s := &c.shards[index]
-	s.deniedUntil = now + deniedPause
-	if s.running > 0 {
+// OnDenied records that an attempt was not sent, because no leaf could take it or the retry budget is used up. The shard is
+// tried again after a backoff, which grows if no earlier attempt is in flight.
+func (e *Execution) OnDenied(index int, now time.Duration) {
+	s := &e.shards[index]
+	s.notBefore = now + minBackoff
+	if s.inFlight > 0 {
 		return
 	}
-	s.pause = min(longestPause, max(deniedPause, 2*s.pause))
-	s.deniedUntil = now + s.pause
-	s.lost = s.deniedUntil > c.plan.RetryUntil
-	s.paused = !s.lost
+	s.backoff = min(maxBackoff, max(minBackoff, 2*s.backoff))
+	s.notBefore = now + s.backoff
+	s.exhausted = s.notBefore > e.plan.RetryUntil
+	s.backingOff = !s.exhausted
 }
 
-// OnLost notes that no leaf is left that could take another attempt, while none runs.
-func (c *Course) OnLost(index int) { c.shards[index].lost = true }
+// OnExhausted records that no further attempt of a shard is possible and none is in flight.
+func (e *Execution) OnExhausted(index int) { e.shards[index].exhausted = true }
 
-// PauseOver returns the shards whose pause is over, which should be tried again now.
-func (c *Course) PauseOver(now time.Duration) []int {
-	var over []int
-	for index := range c.shards {
-		if s := &c.shards[index]; s.paused && now >= s.deniedUntil {
-			s.paused = false
-			over = append(over, index)
+// ShardsToRetry returns the shards whose backoff has passed and ends their backoff. The caller tries them again at once.
+func (e *Execution) ShardsToRetry(now time.Duration) []int {
+	var retry []int
+	for index := range e.shards {
+		if s := &e.shards[index]; s.backingOff && now >= s.notBefore {
+			s.backingOff = false
+			retry = append(retry, index)
 		}
 	}
-	return over
+	return retry
 }
 
-// AtRisk tells whether more shards are open, after the due time, than an answer may lack.
-func (c *Course) AtRisk(now time.Duration) bool {
-	return now >= c.plan.Due && !c.enough()
+// IsOverdue reports whether the soft deadline has passed with fewer than MinParts parts.
+func (e *Execution) IsOverdue(now time.Duration) bool {
+	return now >= e.plan.SoftDeadline && !e.hasMinParts()
 }
 
-// Lost tells whether no further attempt of a shard is possible.
-func (c *Course) Lost(index int) bool { return c.shards[index].lost }
+// IsExhausted reports whether no further attempt of a shard is possible.
+func (e *Execution) IsExhausted(index int) bool { return e.shards[index].exhausted }
 
-// Done tells whether the part of a shard is there.
-func (c *Course) Done(index int) bool { return c.shards[index].done }
+// HasPart reports whether the part of a shard has arrived.
+func (e *Execution) HasPart(index int) bool { return e.shards[index].done }
 
-// Expect takes how many shards will probably answer before the due time.
-func (c *Course) Expect(inTime int) { c.expectLate = inTime < c.plan.MinParts }
+// SetExpectedParts sets the number of shards that are expected to answer before the soft deadline.
+func (e *Execution) SetExpectedParts(inTime int) { e.expectsLate = inTime < e.plan.MinParts }
 
-// AttemptUntil returns when a leaf should stop work on a request that is sent now. Before the due time that is
-// the due time: a leaf that falls behind then drops what nobody waits for, instead of working it off and
-// being late for everything behind it. A query that is expected to be late waits for what is late; the last attempt of
-// a shard runs on for a while where more shards are open than an answer may lack.
-func (c *Course) AttemptUntil(index int, now time.Duration) time.Duration {
-	last := c.shards[index].asked+1 >= c.plan.Attempts
-	atRisk := c.open > c.plan.Shards-c.plan.MinParts
+// AttemptDeadline returns the deadline for a leaf of an attempt that is sent now. It is usually the soft deadline, so that a leaf
+// with a backlog drops requests whose answer would come too late, and does not delay the requests queued behind them. A query
+// that is or will be late uses its own deadline. If parts that the answer needs are still missing, the last attempt of a
+// shard gets half of the remaining time or the late deadline, whichever is later.
+func (e *Execution) AttemptDeadline(index int, now time.Duration) time.Duration {
+	isLast := e.shards[index].attempts+1 >= e.plan.MaxAttempts
+	lacksParts := e.missing > e.plan.Shards-e.plan.MinParts
 	switch {
-	case now >= c.plan.Due || c.expectLate:
-		return c.plan.GiveUp
-	case last && atRisk:
-		return max(c.plan.LateUntil, now+(c.plan.GiveUp-now)/2)
+	case now >= e.plan.SoftDeadline || e.expectsLate:
+		return e.plan.Deadline
+	case isLast && lacksParts:
+		return max(e.plan.LateDeadline, now+(e.plan.Deadline-now)/2)
 	}
-	return c.plan.Due
+	return e.plan.SoftDeadline
 }
 
-// Parts returns how many parts are there.
-func (c *Course) Parts() int { return c.parts }
-
-// Late returns the shards that should be asked again now. Those that this instance asked are left out where so many are late
-// that the cause is load, which second requests would add to.
-func (c *Course) Late(now time.Duration) []int {
-	var late, handed []int
-	for index := range c.shards {
-		switch s := &c.shards[index]; {
-		case !c.mayHedge(s) || now < c.hedgeAt(s):
-		case s.handed:
-			handed = append(handed, index)
+// Parts returns the number of shards whose part has arrived.
+func (e *Execution) Parts() int { return e.parts }
+
+// ShardsToHedge returns the shards that need another attempt now because their answer or report is late. If so many are late that
+// the cause is load, it defers the shards that are not delegated, since hedged requests would add to the load.
+func (e *Execution) ShardsToHedge(now time.Duration) []int {
+	var late, delegated []int
+	for index := range e.shards {
+		switch s := &e.shards[index]; {
+		case !e.canHedge(s) || now < e.hedgeTime(s):
+		case s.delegated:
+			delegated = append(delegated, index)
 		default:
 			late = append(late, index)
 		}
 	}
-	if len(late) <= 1 || float64(len(late)) <= crowdShare*float64(c.plan.Shards) {
-		return append(handed, late...)
+	if len(late) <= 1 || float64(len(late)) <= overloadShare*float64(e.plan.Shards) {
+		return append(delegated, late...)
 	}
 	for _, index := range late {
-		c.shards[index].deniedUntil = now + deniedPause
+		e.shards[index].notBefore = now + minBackoff
 	}
-	return handed
+	return delegated
 }
 
-// Verdict says whether the query ends now.
-func (c *Course) Verdict(now time.Duration) Verdict {
+// Decide returns whether the query ends now, and how.
+func (e *Execution) Decide(now time.Duration) Decision {
 	switch {
-	case c.open == 0:
+	case e.missing == 0:
 		return Complete
-	case c.hopeless():
-		return c.end(Exhausted)
-	case now >= c.plan.GiveUp:
-		return c.end(TimedOut)
-	case c.plan.Slice:
+	case e.shouldStopEarly():
+		return e.finish(Exhausted)
+	case now >= e.plan.Deadline:
+		return e.finish(TimedOut)
+	case e.plan.IsSlice:
 		return Continue
-	case now >= c.plan.LateUntil && c.enough():
+	case now >= e.plan.LateDeadline && e.hasMinParts():
 		return Partial
-	case now >= c.plan.Due && now < c.plan.LateUntil && c.enough() && c.wasEnoughAtDue(now):
+	case now >= e.plan.SoftDeadline && now < e.plan.LateDeadline && e.hasMinParts() && e.isAtSoftDeadline(now):
 		return Partial
 	}
 	return Continue
 }
 
-// Wake returns when to look again if nothing happens.
-func (c *Course) Wake(now time.Duration) time.Duration {
-	wake := c.plan.GiveUp
-	for _, moment := range []time.Duration{c.plan.Due, c.plan.LateUntil} {
-		if moment > now {
-			wake = min(wake, moment)
+// NextCheck returns the time of the next check if no event comes before it.
+func (e *Execution) NextCheck(now time.Duration) time.Duration {
+	next := e.plan.Deadline
+	for _, deadline := range []time.Duration{e.plan.SoftDeadline, e.plan.LateDeadline} {
+		if deadline > now {
+			next = min(next, deadline)
 		}
 	}
-	for index := range c.shards {
-		s := &c.shards[index]
-		if c.mayHedge(s) {
-			wake = min(wake, max(now, c.hedgeAt(s)))
+	for index := range e.shards {
+		s := &e.shards[index]
+		if e.canHedge(s) {
+			next = min(next, max(now, e.hedgeTime(s)))
 		}
-		if s.paused {
-			wake = min(wake, max(now, s.deniedUntil))
+		if s.backingOff {
+			next = min(next, max(now, s.notBefore))
 		}
 	}
-	return wake
+	return next
 }
 
-func (c *Course) enough() bool { return c.parts >= c.plan.MinParts }
+func (e *Execution) hasMinParts() bool { return e.parts >= e.plan.MinParts }
 
-// wasEnoughAtDue holds just after the due time; an answer that is late anyway waits until LateUntil for more parts.
-func (c *Course) wasEnoughAtDue(now time.Duration) bool { return now < c.plan.Due+dueSlack }
+// isAtSoftDeadline reports whether the soft deadline has only just passed. An answer that is already late waits for more parts
+// until the late deadline.
+func (e *Execution) isAtSoftDeadline(now time.Duration) bool {
+	return now < e.plan.SoftDeadline+softDeadlineSlack
+}
 
-// dueSlack is how late the look at the due time may come and still count as in time.
-const dueSlack = 5 * time.Millisecond
+// softDeadlineSlack is the longest delay of the check at the soft deadline that still counts as in time.
+const softDeadlineSlack = 5 * time.Millisecond
 
-func (c *Course) end(failure Verdict) Verdict {
-	if c.enough() {
+func (e *Execution) finish(failure Decision) Decision {
+	if e.hasMinParts() {
 		return Partial
 	}
 	return failure
 }
 
-// hopeless tells whether nothing more can come, or more shards are lost than an answer may lack. An answer with enough
-// parts does not wait for shards that pause.
-func (c *Course) hopeless() bool {
-	lost, paused := 0, 0
-	for index := range c.shards {
-		switch s := &c.shards[index]; {
+// shouldStopEarly reports whether the query should end before its deadlines: no more parts can arrive, too few can for an
+// answer, or it has MinParts parts and the other shards are exhausted or in backoff. A slice ends early only when no more parts
+// can arrive, even after a grant.
+func (e *Execution) shouldStopEarly() bool {
+	exhausted, backingOff := 0, 0
+	for index := range e.shards {
+		switch s := &e.shards[index]; {
 		case s.done:
-		case s.lost:
-			lost++
-		case s.paused:
-			paused++
+		case s.exhausted:
+			exhausted++
+		case s.backingOff:
+			backingOff++
 		}
 	}
-	if c.plan.Slice {
-		return lost == c.open && !c.NeedsGrant()
+	if e.plan.IsSlice {
+		return exhausted == e.missing && !e.NeedsGrant()
 	}
-	return lost == c.open || lost > c.plan.Shards-c.plan.MinParts || c.enough() && lost+paused == c.open
+	return exhausted == e.missing || exhausted > e.plan.Shards-e.plan.MinParts || e.hasMinParts() && exhausted+backingOff == e.missing
 }
 
-func (c *Course) mayHedge(s *shard) bool {
-	return !c.plan.Once && !s.done && !s.lost && s.running > 0 && s.asked < c.allowed
+func (e *Execution) canHedge(s *shard) bool {
+	return !e.plan.ForbidsHedging && !s.done && !s.exhausted && s.inFlight > 0 && s.attempts < e.allowedAttempts
 }
 
-func (c *Course) hedgeAt(s *shard) time.Duration {
-	return max(s.lastSent+c.plan.HedgeAfter, s.deniedUntil)
+func (e *Execution) hedgeTime(s *shard) time.Duration {
+	return max(s.lastSent+e.plan.HedgeDelay, s.notBefore)
 }
--- a/pkg/gatherer/doc.go
+++ b/pkg/gatherer/doc.go
@@ -1,2 +1,2 @@
-// Package gatherer decides the course of one query over many shards and merges the parts of its answer.
+// Package gatherer decides when a scatter-gather query hedges, retries and answers, and merges the results of its shards.
 package gatherer
--- a/pkg/gatherer/gatherer_test.go
+++ b/pkg/gatherer/gatherer_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-func TestTopKeepsTheGreatestRecords(t *testing.T) {
+func TestTopKeepsGreatestRecords(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		limit := random.IntN(8)
 		top := NewTop(limit)
-		var all [][]byte
+		var records [][]byte
 		for range random.IntN(6) {
 			part := make([]byte, random.IntN(100))
 			for i := range part {
@@ -21,302 +21,303 @@
 			}
 			top.Add(part)
 			for rest := part; len(rest) >= RecordBytes; rest = rest[RecordBytes:] {
-				all = append(all, rest[:RecordBytes])
+				records = append(records, rest[:RecordBytes])
 			}
 		}
-		slices.SortFunc(all, func(a, b []byte) int { return bytes.Compare(b, a) })
-		want := bytes.Join(all[:min(limit, len(all))], nil)
+		slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
+		want := bytes.Join(records[:min(limit, len(records))], nil)
 		if got := top.Bytes(); !bytes.Equal(got, want) {
 			t.Fatalf("limit %d: got %x, want %x", limit, got, want)
 		}
 	}
 }
 
-func TestCourse(t *testing.T) {
+func TestDecide(t *testing.T) {
 	ms := time.Millisecond
-	plan := Plan{Shards: 4, MinParts: 3, Attempts: 2, HedgeAfter: 20 * ms, Due: 50 * ms, LateUntil: 100 * ms, GiveUp: 200 * ms}
-	begin := func() *Course {
-		course := New(plan)
+	plan := Plan{Shards: 4, MinParts: 3, MaxAttempts: 2, HedgeDelay: 20 * ms, SoftDeadline: 50 * ms, LateDeadline: 100 * ms, Deadline: 200 * ms}
+	start := func() *Execution {
+		execution := New(plan)
 		for i := range plan.Shards {
-			course.OnSent(i, 0)
+			execution.OnSent(i, 0)
 		}
-		return course
+		return execution
 	}
 	cases := []struct {
 		name string
-		run  func(c *Course)
+		run  func(e *Execution)
 		now  time.Duration
-		want Verdict
+		want Decision
 	}{
-		{"all parts are there", func(c *Course) { parts(c, 0, 1, 2, 3) }, 10 * ms, Complete},
-		{"waits for the last part", func(c *Course) { parts(c, 0, 1, 2) }, 49 * ms, Continue},
-		{"answers in time without the last part", func(c *Course) { parts(c, 0, 1, 2) }, 50 * ms, Partial},
-		{"has too few parts to answer in time", func(c *Course) { parts(c, 0, 1) }, 50 * ms, Continue},
-		{"waits for the rest when it is late anyway", func(c *Course) { parts(c, 0, 1, 2) }, 70 * ms, Continue},
-		{"answers late without the last part", func(c *Course) { parts(c, 0, 1, 2) }, 100 * ms, Partial},
-		{"fails when the time is over", func(c *Course) { parts(c, 0, 1) }, 200 * ms, TimedOut},
-		{"answers at once when nothing more can come", func(c *Course) {
-			parts(c, 0, 1, 2)
-			c.OnFailure(3, true)
-			c.OnDenied(3, 5*ms)
+		{"complete with all parts", func(e *Execution) { receiveParts(e, 0, 1, 2, 3) }, 10 * ms, Complete},
+		{"continues before the soft deadline without the last part", func(e *Execution) { receiveParts(e, 0, 1, 2) }, 49 * ms, Continue},
+		{"partial at the soft deadline", func(e *Execution) { receiveParts(e, 0, 1, 2) }, 50 * ms, Partial},
+		{"continues at the soft deadline with too few parts", func(e *Execution) { receiveParts(e, 0, 1) }, 50 * ms, Continue},
+		{"continues between the soft deadline and the late deadline", func(e *Execution) { receiveParts(e, 0, 1, 2) }, 70 * ms, Continue},
+		{"partial at the late deadline", func(e *Execution) { receiveParts(e, 0, 1, 2) }, 100 * ms, Partial},
+		{"timed out at the deadline with too few parts", func(e *Execution) { receiveParts(e, 0, 1) }, 200 * ms, TimedOut},
+		{"partial at once when no more parts can arrive", func(e *Execution) {
+			receiveParts(e, 0, 1, 2)
+			e.OnFailure(3, true)
+			e.OnDenied(3, 5*ms)
 		}, 10 * ms, Partial},
-		{"fails at once when nothing more can come", func(c *Course) {
-			parts(c, 0, 1)
+		{"exhausted at once when no more parts can arrive", func(e *Execution) {
+			receiveParts(e, 0, 1)
 			for _, i := range []int{2, 3} {
-				c.OnFailure(i, true)
-				c.OnDenied(i, 5*ms)
+				e.OnFailure(i, true)
+				e.OnDenied(i, 5*ms)
 			}
 		}, 10 * ms, Exhausted},
-		{"waits for the second attempt", func(c *Course) {
-			parts(c, 0, 1, 2)
-			c.OnFailure(3, true)
-			c.OnSent(3, 5*ms)
+		{"continues while the second attempt is in flight", func(e *Execution) {
+			receiveParts(e, 0, 1, 2)
+			e.OnFailure(3, true)
+			e.OnSent(3, 5*ms)
 		}, 10 * ms, Continue},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			course := begin()
-			c.run(course)
-			if got := course.Verdict(c.now); got != c.want {
+			execution := start()
+			c.run(execution)
+			if got := execution.Decide(c.now); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestCourseAsksLateShardsAgainOnce(t *testing.T) {
+func TestLateShardIsHedgedOnce(t *testing.T) {
 	ms := time.Millisecond
-	course := New(Plan{Shards: 2, MinParts: 2, Attempts: 2, HedgeAfter: 20 * ms, Due: 50 * ms, LateUntil: 60 * ms, GiveUp: 200 * ms})
-	course.OnSent(0, 0)
-	course.OnSent(1, 0)
-	if late := course.Late(19 * ms); len(late) != 0 {
-		t.Fatalf("asked again too early: %v", late)
+	execution := New(Plan{Shards: 2, MinParts: 2, MaxAttempts: 2, HedgeDelay: 20 * ms, SoftDeadline: 50 * ms, LateDeadline: 60 * ms, Deadline: 200 * ms})
+	execution.OnSent(0, 0)
+	execution.OnSent(1, 0)
+	if hedged := execution.ShardsToHedge(19 * ms); len(hedged) != 0 {
+		t.Fatalf("before the hedge delay: got hedges of shards %v, want none", hedged)
 	}
-	if wake := course.Wake(0); wake != 20*ms {
-		t.Errorf("wakes at %v, want 20ms", wake)
+	if next := execution.NextCheck(0); next != 20*ms {
+		t.Errorf("next check: got %v, want 20ms", next)
 	}
-	parts(course, 0)
-	if late := course.Late(20 * ms); !slices.Equal(late, []int{1}) {
-		t.Fatalf("got %v, want shard 1", late)
+	receiveParts(execution, 0)
+	if hedged := execution.ShardsToHedge(20 * ms); !slices.Equal(hedged, []int{1}) {
+		t.Fatalf("after the hedge delay: got hedges of shards %v, want [1]", hedged)
 	}
-	course.OnSent(1, 20*ms)
-	if late := course.Late(45 * ms); len(late) != 0 {
-		t.Errorf("asked a third time: %v", late)
+	execution.OnSent(1, 20*ms)
+	if hedged := execution.ShardsToHedge(45 * ms); len(hedged) != 0 {
+		t.Errorf("after two attempts: got hedges of shards %v, want none", hedged)
 	}
-	if !course.OnPart(1) {
-		t.Error("the first part of the shard does not count")
+	if !execution.OnPart(1) {
+		t.Error("first part of the shard: got false, want true")
 	}
-	if course.OnPart(1) {
-		t.Error("the second part of the shard counts")
+	if execution.OnPart(1) {
+		t.Error("second part of the shard: got true, want false")
 	}
 }
 
-func TestRequestThatMustRunOnceIsNotHedged(t *testing.T) {
+func TestNonIdempotentRequestIsNotHedged(t *testing.T) {
 	ms := time.Millisecond
-	course := New(Plan{Shards: 1, MinParts: 1, Attempts: 2, Once: true, HedgeAfter: 20 * ms, Due: 50 * ms, LateUntil: 50 * ms, GiveUp: 50 * ms})
-	course.OnSent(0, 0)
+	execution := New(Plan{Shards: 1, MinParts: 1, MaxAttempts: 2, ForbidsHedging: true, HedgeDelay: 20 * ms, SoftDeadline: 50 * ms, LateDeadline: 50 * ms, Deadline: 50 * ms})
+	execution.OnSent(0, 0)
 	for _, now := range []time.Duration{20 * ms, 50 * ms, time.Second} {
-		if late := course.Late(now); len(late) != 0 {
-			t.Errorf("hedged after %v", now)
+		if hedged := execution.ShardsToHedge(now); len(hedged) != 0 {
+			t.Errorf("after %v: got a hedge, want none", now)
 		}
 	}
 }
 
-func TestAttemptUntil(t *testing.T) {
+func TestAttemptDeadline(t *testing.T) {
 	ms := time.Millisecond
-	plan := Plan{Shards: 4, MinParts: 3, Attempts: 2, HedgeAfter: 20 * ms, Due: 50 * ms, LateUntil: 100 * ms, GiveUp: 200 * ms}
+	plan := Plan{Shards: 4, MinParts: 3, MaxAttempts: 2, HedgeDelay: 20 * ms, SoftDeadline: 50 * ms, LateDeadline: 100 * ms, Deadline: 200 * ms}
 	cases := []struct {
 		name   string
 		inTime int
 		done   []int
-		asked  int
+		sent   int
 		now    time.Duration
 		want   time.Duration
 	}{
-		{"a first attempt ends at the due time", 4, nil, 0, 0, plan.Due},
-		{"a query that will be late waits", 2, nil, 0, 0, plan.GiveUp},
-		{"after the due time only a late answer is left", 4, nil, 0, 60 * ms, plan.GiveUp},
-		{"the last attempt ends at the due time when the part can be missed", 4, []int{0, 1, 2}, 1, 20 * ms, plan.Due},
-		{"the last attempt runs on when the part cannot be missed", 4, []int{0, 1}, 1, 20 * ms, 110 * ms},
+		{"first attempt ends at the soft deadline", 4, nil, 0, 0, plan.SoftDeadline},
+		{"query expected to be late uses the deadline", 2, nil, 0, 0, plan.Deadline},
+		{"attempt after the soft deadline uses the deadline", 4, nil, 0, 60 * ms, plan.Deadline},
+		{"last attempt ends at the soft deadline with enough parts", 4, []int{0, 1, 2}, 1, 20 * ms, plan.SoftDeadline},
+		{"last attempt gets half of the remaining time with too few parts", 4, []int{0, 1}, 1, 20 * ms, 110 * ms},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			course := New(plan)
-			course.Expect(c.inTime)
+			execution := New(plan)
+			execution.SetExpectedParts(c.inTime)
 			for _, i := range c.done {
-				course.OnSent(i, 0)
+				execution.OnSent(i, 0)
 			}
-			parts(course, c.done...)
-			for range c.asked {
-				course.OnSent(3, 0)
+			receiveParts(execution, c.done...)
+			for range c.sent {
+				execution.OnSent(3, 0)
 			}
-			if got := course.AttemptUntil(3, c.now); got != c.want {
+			if got := execution.AttemptDeadline(3, c.now); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestAttemptThatNoLeafRanDoesNotCount(t *testing.T) {
-	course := New(Plan{Shards: 1, MinParts: 1, Attempts: 2, HedgeAfter: time.Second, Due: time.Second, LateUntil: time.Second, GiveUp: time.Second})
+func TestAttemptThatDidNotRunDoesNotCount(t *testing.T) {
+	execution := New(Plan{Shards: 1, MinParts: 1, MaxAttempts: 2, HedgeDelay: time.Second, SoftDeadline: time.Second, LateDeadline: time.Second, Deadline: time.Second})
 	for range 5 {
-		course.OnSent(0, 0)
-		if !course.OnFailure(0, false) {
-			t.Fatal("no further attempt after one that no leaf ran")
+		execution.OnSent(0, 0)
+		if !execution.OnFailure(0, false) {
+			t.Fatal("after an attempt that did not run: got no further attempt, want one")
 		}
 	}
-	course.OnSent(0, 0)
-	if !course.OnFailure(0, true) {
-		t.Fatal("no second attempt")
+	execution.OnSent(0, 0)
+	if !execution.OnFailure(0, true) {
+		t.Fatal("after the first attempt: got no second one, want one")
 	}
-	course.OnSent(0, 0)
-	if course.OnFailure(0, true) {
-		t.Error("a third attempt")
+	execution.OnSent(0, 0)
+	if execution.OnFailure(0, true) {
+		t.Error("after the second attempt: got a third one, want none")
 	}
 }
 
-// Leafs of many shards fall silent at once: the other leafs of a shard are paced for a moment, or the budget is used up.
-func TestDeniedHedgeIsTriedAgain(t *testing.T) {
+// Guards against a hedge that is never sent because it was denied once. This happens when leafs of many shards stop answering
+// at once: the other leafs of a shard are rate limited for a moment, or the retry budget is used up.
+func TestDeniedHedgeIsRetriedAfterBackoff(t *testing.T) {
 	ms := time.Millisecond
-	course := New(Plan{Shards: 1, MinParts: 1, Attempts: 2, HedgeAfter: 20 * ms, Due: 50 * ms, LateUntil: 60 * ms, GiveUp: 3000 * ms})
-	course.OnSent(0, 0)
-	course.OnDenied(0, 20*ms)
-	if late := course.Late(20*ms + deniedPause - 1); len(late) != 0 {
-		t.Error("tried again without a pause")
+	execution := New(Plan{Shards: 1, MinParts: 1, MaxAttempts: 2, HedgeDelay: 20 * ms, SoftDeadline: 50 * ms, LateDeadline: 60 * ms, Deadline: 3000 * ms})
+	execution.OnSent(0, 0)
+	execution.OnDenied(0, 20*ms)
+	if hedged := execution.ShardsToHedge(20*ms + minBackoff - 1); len(hedged) != 0 {
+		t.Error("before the backoff has passed: got a hedge, want none")
 	}
-	if wake := course.Wake(21 * ms); wake != 20*ms+deniedPause {
-		t.Errorf("wakes at %v, want %v", wake, 20*ms+deniedPause)
+	if next := execution.NextCheck(21 * ms); next != 20*ms+minBackoff {
+		t.Errorf("next check: got %v, want %v", next, 20*ms+minBackoff)
 	}
-	if late := course.Late(20*ms + deniedPause); !slices.Equal(late, []int{0}) {
-		t.Fatal("a second request that no leaf could take was not tried again")
+	if hedged := execution.ShardsToHedge(20*ms + minBackoff); !slices.Equal(hedged, []int{0}) {
+		t.Fatal("after the backoff: got no hedge, want one of shard 0")
 	}
-	course.OnSent(0, 20*ms+deniedPause)
-	if course.OnFailure(0, true) {
-		t.Error("a third attempt while the second one runs")
+	execution.OnSent(0, 20*ms+minBackoff)
+	if execution.OnFailure(0, true) {
+		t.Error("while the second attempt is in flight: got a third one, want none")
 	}
-	if verdict := course.Verdict(60 * ms); verdict != Continue {
-		t.Errorf("got %v while the second attempt runs", verdict)
+	if decision := execution.Decide(60 * ms); decision != Continue {
+		t.Errorf("while the second attempt is in flight: got decision %v, want Continue", decision)
 	}
 }
 
-// All callers come back at once after a loss of all instances: every shard is late, and a second request to each would
-// double the load.
-func TestCrowdOfLateShardsIsNotAskedAgain(t *testing.T) {
+// Guards against hedging under overload. After all instances were lost, all callers return at once and every shard is late, so
+// a hedge of each shard would double the load.
+func TestManyLateShardsAreNotHedged(t *testing.T) {
 	ms := time.Millisecond
-	plan := Plan{Shards: 10, MinParts: 9, Attempts: 2, HedgeAfter: 20 * ms, Due: 200 * ms, LateUntil: 400 * ms, GiveUp: 3000 * ms}
-	course := New(plan)
+	plan := Plan{Shards: 10, MinParts: 9, MaxAttempts: 2, HedgeDelay: 20 * ms, SoftDeadline: 200 * ms, LateDeadline: 400 * ms, Deadline: 3000 * ms}
+	execution := New(plan)
 	for i := range plan.Shards {
-		course.OnSent(i, 0)
+		execution.OnSent(i, 0)
 	}
-	parts(course, 0, 1, 2, 3)
-	if late := course.Late(20 * ms); len(late) != 0 {
-		t.Fatalf("asked %d of %d shards again", len(late), plan.Shards)
+	receiveParts(execution, 0, 1, 2, 3)
+	if hedged := execution.ShardsToHedge(20 * ms); len(hedged) != 0 {
+		t.Fatalf("got hedges of %d of %d shards, want none", len(hedged), plan.Shards)
 	}
-	if wake := course.Wake(21 * ms); wake != 20*ms+deniedPause {
-		t.Errorf("wakes at %v, want %v", wake, 20*ms+deniedPause)
+	if next := execution.NextCheck(21 * ms); next != 20*ms+minBackoff {
+		t.Errorf("next check: got %v, want %v", next, 20*ms+minBackoff)
 	}
-	parts(course, 4)
-	if late := course.Late(20*ms + deniedPause); !slices.Equal(late, []int{5, 6, 7, 8, 9}) {
-		t.Errorf("got %v, want the shards that are later than half of the others", late)
+	receiveParts(execution, 4)
+	if hedged := execution.ShardsToHedge(20*ms + minBackoff); !slices.Equal(hedged, []int{5, 6, 7, 8, 9}) {
+		t.Errorf("with half of the shards late: got hedges of shards %v, want [5 6 7 8 9]", hedged)
 	}
 }
 
-// All instances start again at once: leafs refuse their connections for a second, and no leaf of a shard takes the request.
-// A caller with more time than that gets a late answer.
-func TestShardRestsWhereNoLeafTakesIt(t *testing.T) {
+// Guards against a query that fails at once when no leaf of a shard takes the request. After all instances restart together,
+// leafs refuse connections for about a second, and a caller with a longer timeout should get a late answer.
+func TestBackoffWhenNoLeafTakesRequest(t *testing.T) {
 	ms := time.Millisecond
 	plan := Plan{
-		Shards: 2, MinParts: 2, Attempts: 2, HedgeAfter: 20 * ms, Due: 500 * ms, LateUntil: 600 * ms, GiveUp: 3000 * ms,
+		Shards: 2, MinParts: 2, MaxAttempts: 2, HedgeDelay: 20 * ms, SoftDeadline: 500 * ms, LateDeadline: 600 * ms, Deadline: 3000 * ms,
 		RetryUntil: 3000 * ms,
 	}
-	rest := func(c *Course, now time.Duration) {
-		c.OnFailure(1, false)
-		c.OnDenied(1, now)
+	deny := func(e *Execution, now time.Duration) {
+		e.OnFailure(1, false)
+		e.OnDenied(1, now)
 	}
-	t.Run("tried again after a pause", func(t *testing.T) {
-		c := New(plan)
-		c.OnSent(0, 0)
-		c.OnSent(1, 0)
-		parts(c, 0)
-		rest(c, 10*ms)
-		if verdict := c.Verdict(11 * ms); verdict != Continue {
-			t.Fatalf("got %v while the shard pauses", verdict)
+	t.Run("retried after backoff", func(t *testing.T) {
+		e := New(plan)
+		e.OnSent(0, 0)
+		e.OnSent(1, 0)
+		receiveParts(e, 0)
+		deny(e, 10*ms)
+		if decision := e.Decide(11 * ms); decision != Continue {
+			t.Fatalf("during the backoff: got decision %v, want Continue", decision)
 		}
-		if wake := c.Wake(11 * ms); wake != 10*ms+deniedPause {
-			t.Errorf("wakes at %v, want %v", wake, 10*ms+deniedPause)
+		if next := e.NextCheck(11 * ms); next != 10*ms+minBackoff {
+			t.Errorf("next check: got %v, want %v", next, 10*ms+minBackoff)
 		}
-		if over := c.PauseOver(10*ms + deniedPause); !slices.Equal(over, []int{1}) {
-			t.Fatalf("got %v, want shard 1", over)
+		if due := e.ShardsToRetry(10*ms + minBackoff); !slices.Equal(due, []int{1}) {
+			t.Fatalf("after the backoff: got retries of shards %v, want [1]", due)
 		}
-		c.OnSent(1, 10*ms+deniedPause)
-		parts(c, 1)
-		if verdict := c.Verdict(50 * ms); verdict != Complete {
-			t.Errorf("got %v, want a complete answer", verdict)
+		e.OnSent(1, 10*ms+minBackoff)
+		receiveParts(e, 1)
+		if decision := e.Decide(50 * ms); decision != Complete {
+			t.Errorf("with all parts: got decision %v, want Complete", decision)
 		}
 	})
-	t.Run("tried again until the time is over, ever less often", func(t *testing.T) {
-		c := New(plan)
-		c.OnSent(0, 0)
-		parts(c, 0)
-		tries := 0
+	t.Run("retried with growing backoff until the limit", func(t *testing.T) {
+		e := New(plan)
+		e.OnSent(0, 0)
+		receiveParts(e, 0)
+		retries := 0
 		now := 10 * ms
-		for c.OnDenied(1, now); c.Verdict(now) == Continue; c.OnDenied(1, now) {
-			began := now
-			for over := []int(nil); len(over) == 0; over = c.PauseOver(now) {
-				now = c.Wake(now)
+		for e.OnDenied(1, now); e.Decide(now) == Continue; e.OnDenied(1, now) {
+			backoffStart := now
+			for due := []int(nil); len(due) == 0; due = e.ShardsToRetry(now) {
+				now = e.NextCheck(now)
 			}
-			if pause := now - began; pause < deniedPause || pause > longestPause {
-				t.Fatalf("a pause of %v after %d tries", pause, tries)
+			if pause := now - backoffStart; pause < minBackoff || pause > maxBackoff {
+				t.Fatalf("got a backoff of %v after %d retries, want minBackoff to maxBackoff", pause, retries)
 			}
-			tries++
+			retries++
 		}
-		if now < plan.RetryUntil-longestPause {
-			t.Errorf("given up at %v, with %v left", now, plan.RetryUntil-now)
+		if now < plan.RetryUntil-maxBackoff {
+			t.Errorf("retries ended at %v, %v before the limit, want at most maxBackoff before it", now, plan.RetryUntil-now)
 		}
-		if want := int(plan.RetryUntil/longestPause) + 4; tries > want {
-			t.Errorf("%d tries, want at most %d", tries, want)
+		if want := int(plan.RetryUntil/maxBackoff) + 4; retries > want {
+			t.Errorf("got %d retries, want at most %d", retries, want)
 		}
-		if verdict := c.Verdict(now); verdict != Exhausted {
-			t.Errorf("got %v, want a failure at once", verdict)
+		if decision := e.Decide(now); decision != Exhausted {
+			t.Errorf("after the last retry: got decision %v, want Exhausted", decision)
 		}
 	})
-	t.Run("not awaited by an answer with enough parts", func(t *testing.T) {
+	t.Run("not awaited with enough parts", func(t *testing.T) {
 		enough := plan
 		enough.MinParts = 1
-		c := New(enough)
-		c.OnSent(0, 0)
-		c.OnSent(1, 0)
-		rest(c, 10*ms)
-		if verdict := c.Verdict(11 * ms); verdict != Continue {
-			t.Fatalf("got %v while a part may come", verdict)
+		e := New(enough)
+		e.OnSent(0, 0)
+		e.OnSent(1, 0)
+		deny(e, 10*ms)
+		if decision := e.Decide(11 * ms); decision != Continue {
+			t.Fatalf("while a part can still arrive: got decision %v, want Continue", decision)
 		}
-		parts(c, 0)
-		if verdict := c.Verdict(12 * ms); verdict != Partial {
-			t.Errorf("got %v, want the answer at once", verdict)
+		receiveParts(e, 0)
+		if decision := e.Decide(12 * ms); decision != Partial {
+			t.Errorf("with enough parts: got decision %v, want Partial", decision)
 		}
 	})
 }
 
-// Answers are lost on their way from many leafs: the query fails as soon as it must, so that its caller comes back with
-// most of its time left.
-func TestQueryEndsWhenTooManyShardsAreLost(t *testing.T) {
+// Guards against a query that waits for its deadline although too few parts can arrive, as when answers of many leafs are lost
+// on the network. Failing at once leaves the caller most of its time to retry.
+func TestQueryFailsWhenTooManyShardsAreExhausted(t *testing.T) {
 	ms := time.Millisecond
-	course := New(Plan{Shards: 4, MinParts: 3, Attempts: 1, HedgeAfter: 20 * ms, Due: 50 * ms, LateUntil: 60 * ms, GiveUp: 3000 * ms})
+	execution := New(Plan{Shards: 4, MinParts: 3, MaxAttempts: 1, HedgeDelay: 20 * ms, SoftDeadline: 50 * ms, LateDeadline: 60 * ms, Deadline: 3000 * ms})
 	for i := range 4 {
-		course.OnSent(i, 0)
+		execution.OnSent(i, 0)
 	}
-	course.OnFailure(0, true)
-	if verdict := course.Verdict(10 * ms); verdict != Continue {
-		t.Errorf("got %v with one shard lost of one that may be missing", verdict)
+	execution.OnFailure(0, true)
+	if decision := execution.Decide(10 * ms); decision != Continue {
+		t.Errorf("with one shard exhausted and one allowed to be missing: got decision %v, want Continue", decision)
 	}
-	course.OnFailure(1, true)
-	if verdict := course.Verdict(10 * ms); verdict != Exhausted {
-		t.Errorf("got %v with two shards lost of one that may be missing", verdict)
+	execution.OnFailure(1, true)
+	if decision := execution.Decide(10 * ms); decision != Exhausted {
+		t.Errorf("with two shards exhausted and one allowed to be missing: got decision %v, want Exhausted", decision)
 	}
 }
 
-func parts(c *Course, shards ...int) {
+func receiveParts(e *Execution, shards ...int) {
 	for _, shard := range shards {
-		c.OnPart(shard)
+		e.OnPart(shard)
 	}
 }
--- a/pkg/gatherer/merge.go
+++ b/pkg/gatherer/merge.go
@@ -1,6 +1,3 @@
-// Records have 16 bytes and are compared byte by byte, the greatest first. A
-// rest shorter than a record at the end of a part is none.
-
 package gatherer
 
 import (
@@ -9,14 +6,14 @@
 )
 
 const (
-	// RecordBytes is the length of one record.
+	// RecordBytes is the length of one record, in bytes.
 	RecordBytes = 16
-	// firstRecords bounds the room that is made before any record came: a route may ask for any number.
-	firstRecords = 256
+	// maxInitialCapacity bounds the records that are allocated in advance, because a route may ask for any number.
+	maxInitialCapacity = 256
 )
 
 type (
-	// Top keeps the greatest records that were added.
+	// Top collects the greatest records of all parts. Records are compared byte by byte.
 	Top struct {
 		limit   int
 		records []record
@@ -27,12 +24,12 @@
 	}
 )
 
-// NewTop returns a collection of at most limit records.
+// NewTop returns a collection of the limit greatest records.
 func NewTop(limit int) *Top {
-	return &Top{limit: limit, records: make([]record, 0, max(0, min(limit, firstRecords)))}
+	return &Top{limit: limit, records: make([]record, 0, max(0, min(limit, maxInitialCapacity)))}
 }
 
-// Add takes the records of one part.
+// Add takes the records of one part. It ignores an incomplete record at the end.
 func (t *Top) Add(part []byte) {
 	for len(part) >= RecordBytes {
 		t.add(record{high: binary.BigEndian.Uint64(part), low: binary.BigEndian.Uint64(part[8:])})
@@ -40,7 +37,7 @@
 	}
 }
 
-// Bytes returns the records, greatest first.
+// Bytes returns the concatenated records, greatest first.
 func (t *Top) Bytes() []byte {
 	sorted := slices.Clone(t.records)
 	slices.SortFunc(sorted, func(a, b record) int { return compare(b, a) })
@@ -52,20 +49,20 @@
 	return body
 }
 
-// add keeps a heap whose root is the smallest record kept.
+// add maintains a min-heap, whose root is the smallest record of the collection.
 func (t *Top) add(r record) {
 	if len(t.records) < t.limit {
 		t.records = append(t.records, r)
-		t.up(len(t.records) - 1)
+		t.siftUp(len(t.records) - 1)
 		return
 	}
 	if t.limit > 0 && compare(r, t.records[0]) > 0 {
 		t.records[0] = r
-		t.down(0)
+		t.siftDown(0)
 	}
 }
 
-func (t *Top) up(i int) {
+func (t *Top) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if compare(t.records[i], t.records[parent]) >= 0 {
@@ -76,7 +73,7 @@
 	}
 }
 
-func (t *Top) down(i int) {
+func (t *Top) siftDown(i int) {
 	for {
 		smallest := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(t.records); child++ {
--- a/pkg/gossiper/fuzz_test.go
+++ b/pkg/gossiper/fuzz_test.go
@@ -9,7 +9,7 @@
 
 // Whatever a datagram holds, decoding it ends with observations that can be used, or an error.
 func FuzzDatagram(f *testing.F) {
-	good, err := encode([]spreader.Observation{{Leaf: "i-1", Slowness: 4, Faults: 0.5, Slow: true, SlowFor: time.Second}}, time.Minute)
+	good, err := encode([]spreader.Observation{{Leaf: "i-1", Slowness: 4, FailureRate: 0.5, IsSlow: true, SlowFor: time.Second}}, time.Minute)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 			if observation.SeenAt > time.Minute {
 				t.Errorf("seen at %v, after it was read", observation.SeenAt)
 			}
-			if observation.Slowness != observation.Slowness || observation.Faults != observation.Faults {
+			if observation.Slowness != observation.Slowness || observation.FailureRate != observation.FailureRate {
 				t.Errorf("no number: %+v", observation)
 			}
 		}
--- a/pkg/gossiper/gossiper.go
+++ b/pkg/gossiper/gossiper.go
@@ -102,7 +102,7 @@
 // Tell passes on what this instance saw.
 func (g *Gossiper) Tell(observation spreader.Observation) {
 	g.mu.Lock()
-	g.spreader.Take(observation)
+	g.spreader.Add(observation)
 	g.mu.Unlock()
 	g.wakeUp()
 }
@@ -136,7 +136,7 @@
 func (g *Gossiper) sendRound() bool {
 	now := g.config.Now()
 	g.mu.Lock()
-	observations := g.spreader.Next(now, maxObservations)
+	observations := g.spreader.NextRound(now, maxObservations)
 	peers := g.pick()
 	g.mu.Unlock()
 	if len(observations) == 0 {
@@ -208,7 +208,7 @@
 	defer g.mu.Unlock()
 	news := observations[:0]
 	for _, observation := range observations {
-		if g.spreader.Take(observation) {
+		if g.spreader.Add(observation) {
 			news = append(news, observation)
 		}
 	}
--- a/pkg/gossiper/gossiper_test.go
+++ b/pkg/gossiper/gossiper_test.go
@@ -41,11 +41,11 @@
 	last, news := newGossiper(t, secret)
 	first.SetPeers([]string{middle.address(), "no address"})
 	middle.SetPeers([]string{last.address()})
-	sent := spreader.Observation{Leaf: "i-1", Slowness: 4.5, Faults: 0.25, Slow: true, SlowFor: 700 * time.Millisecond, Gone: true, SeenAt: first.config.Now()}
+	sent := spreader.Observation{Leaf: "i-1", Slowness: 4.5, FailureRate: 0.25, IsSlow: true, SlowFor: 700 * time.Millisecond, IsGone: true, SeenAt: first.config.Now()}
 	first.Tell(sent)
 	select {
 	case got := <-news:
-		if len(got) != 1 || got[0].Leaf != "i-1" || got[0].Slowness != 4.5 || got[0].Faults != 0.25 || !got[0].Slow || got[0].SlowFor != sent.SlowFor {
+		if len(got) != 1 || got[0].Leaf != "i-1" || got[0].Slowness != 4.5 || got[0].FailureRate != 0.25 || !got[0].IsSlow || got[0].SlowFor != sent.SlowFor {
 			t.Errorf("got %+v, sent %+v", got, sent)
 		}
 		if age := last.config.Now() - got[0].SeenAt; age < 0 || age > 2*time.Second {
@@ -93,7 +93,7 @@
 func TestDatagramsThatWaitedDuringAPauseAreDropped(t *testing.T) {
 	secret := linker.NewSecret("test", []byte("key"))
 	g, news := newGossiper(t, secret)
-	data, err := encode([]spreader.Observation{{Leaf: "i-1", Slow: true}}, 0)
+	data, err := encode([]spreader.Observation{{Leaf: "i-1", IsSlow: true}}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/gossiper/wire.go
+++ b/pkg/gossiper/wire.go
@@ -31,9 +31,9 @@
 	list := make([]wireObservation, 0, len(observations))
 	for _, s := range observations {
 		list = append(list, wireObservation{
-			Leaf: s.Leaf, Slowness: float32(s.Slowness), Faults: float32(s.Faults), Slow: s.Slow,
+			Leaf: s.Leaf, Slowness: float32(s.Slowness), Faults: float32(s.FailureRate), Slow: s.IsSlow,
 			SlowMs: uint32(s.SlowFor.Milliseconds()), AgeMs: uint32(max(0, now-s.SeenAt).Milliseconds()),
-			Gone: s.Gone,
+			Gone: s.IsGone,
 		})
 	}
 	var data bytes.Buffer
@@ -60,12 +60,12 @@
 			return nil, errors.Wrap(err, "gossip: decode an observation")
 		}
 		observation := spreader.Observation{
-			Leaf: w.Leaf, Slowness: float64(w.Slowness), Faults: float64(w.Faults), Slow: w.Slow,
+			Leaf: w.Leaf, Slowness: float64(w.Slowness), FailureRate: float64(w.Faults), IsSlow: w.Slow,
 			SlowFor: time.Duration(w.SlowMs) * time.Millisecond, SeenAt: now - time.Duration(w.AgeMs)*time.Millisecond,
-			Gone: w.Gone,
+			IsGone: w.Gone,
 		}
-		if !(observation.Slowness >= 0) || !(observation.Faults >= 0 && observation.Faults <= 1) {
-			return nil, errors.Errorf("gossip: decode observations: slowness %g and faults %g", observation.Slowness, observation.Faults)
+		if !(observation.Slowness >= 0) || !(observation.FailureRate >= 0 && observation.FailureRate <= 1) {
+			return nil, errors.Errorf("gossip: decode observations: slowness %g and faults %g", observation.Slowness, observation.FailureRate)
 		}
 		observations = append(observations, observation)
 	}
--- a/pkg/recruiter/doc.go
+++ b/pkg/recruiter/doc.go
@@ -1,2 +1,2 @@
-// Package recruiter decides which control instances join, gain a vote in and leave the replicated log.
+// Package recruiter decides which control instances join the replicated log, become voters, and are removed.
 package recruiter
--- a/pkg/recruiter/recruiter.go
+++ b/pkg/recruiter/recruiter.go
@@ -1,9 +1,3 @@
-// Decide looks at the members of the log and at the instances that ask to
-// join, and returns at most one change. A replaced disk comes back under a
-// new node name of the same instance:
-//
-//	voters a/1 b/1 c/1, candidate c/2  ->  add learner c/2, promote c/2, remove c/1
-
 package recruiter
 
 import (
@@ -14,49 +8,55 @@
 )
 
 const (
-	// NoChange leaves the members as they are.
+	// NoChange keeps the members as they are.
 	NoChange Action = iota
-	// AddLearner adds a node without a vote.
+	// AddLearner adds a node as a non-voting member.
 	AddLearner
-	// Promote gives a learner its vote.
+	// Promote makes a learner a voter.
 	Promote
-	// Remove takes a node out.
+	// Remove removes a voter or a learner.
 	Remove
 )
 
 const (
-	// CandidateAge is how long a request to join counts; instances repeat it five times as often.
-	CandidateAge = time.Second
-	// VoterSilence is how long a voter is silent before a newcomer may take its place: three election time-outs.
-	VoterSilence = 1500 * time.Millisecond
-	// LearnerSilence is how long a learner is silent before it is dropped; it may ask to join again.
-	LearnerSilence = 5 * time.Second
+	// JoinerTimeout is the time after which a join request or the last message of a learner is too old for the node to be
+	// added or promoted. Instances send join requests five times within it.
+	JoinerTimeout = time.Second
+	// VoterTimeout is the time without contact, three election timeouts, after which a voter may be removed in favour of a new one.
+	VoterTimeout = 1500 * time.Millisecond
+	// LearnerTimeout is the time without contact after which a learner is removed. It may request to join again.
+	LearnerTimeout = 5 * time.Second
 )
 
 type (
-	// Action is the kind of a change.
+	// Action is the kind of a membership change.
 	Action int
 
-	// Change is one change of the members.
+	// Change is a membership change of one node.
 	Change struct {
 		Action Action
 		Node   replicator.NodeID
 		Reason string
 	}
 
-	// Picture is what the leader knows at one moment; times are on its steady clock.
-	Picture struct {
-		Self       replicator.NodeID
-		Now        time.Duration
-		Config     replicator.Config
-		Commit     uint64
-		Match      map[replicator.NodeID]uint64
-		HeardAt    map[replicator.NodeID]time.Duration
-		Candidates map[replicator.NodeID]time.Duration
+	// View is the state of the log and its members as known to the leader. Points in time are readings of its monotonic
+	// clock.
+	View struct {
+		Self   replicator.NodeID
+		Now    time.Duration
+		Config replicator.Config
+		// Commit is the index of the last committed entry.
+		Commit uint64
+		// Match is the index of the last entry that each node is known to hold.
+		Match map[replicator.NodeID]uint64
+		// HeardAt is the time of the last message from each node.
+		HeardAt map[replicator.NodeID]time.Duration
+		// JoinRequests is the time of the last join request of each node.
+		JoinRequests map[replicator.NodeID]time.Duration
 	}
 )
 
-// String returns the action as a verb.
+// String returns the action as it appears in events and logs.
 func (a Action) String() string {
 	switch a {
 	case AddLearner:
@@ -69,22 +69,25 @@
 	return "leave"
 }
 
-// Decide returns the next change, or NoChange.
-func Decide(picture Picture) Change {
-	deciders := []func(Picture) Change{removeReplacedDisk, promoteLearner, removeSpareVoter, addCandidate, dropSilentLearner}
-	for _, decide := range deciders {
-		if change := decide(picture); change.Action != NoChange {
+// Decide returns the next membership change, with the action NoChange if there is none. An instance whose disk was replaced
+// joins again under a new node identifier:
+//
+//	voters a/1 b/1 c/1, join request of c/2  ->  add learner c/2, promote c/2, remove c/1
+func Decide(view View) Change {
+	rules := []func(View) Change{removeReplacedVoter, promoteLearner, removeSilentVoter, addJoiningNode, removeSilentLearner}
+	for _, rule := range rules {
+		if change := rule(view); change.Action != NoChange {
 			return change
 		}
 	}
 	return Change{}
 }
 
-// removeReplacedDisk removes a voter whose instance votes under a newer disk.
-func removeReplacedDisk(p Picture) Change {
-	for _, old := range p.Config.Voters {
-		for _, other := range p.Config.Voters {
-			if old != other && instanceOf(old) == instanceOf(other) && p.HeardAt[old] < p.HeardAt[other] && old != p.Self {
+// removeReplacedVoter removes a voter if another voter of the same instance, with a newer disk, was heard from more recently.
+func removeReplacedVoter(v View) Change {
+	for _, old := range v.Config.Voters {
+		for _, other := range v.Config.Voters {
+			if old != other && instanceOf(old) == instanceOf(other) && v.HeardAt[old] < v.HeardAt[other] && old != v.Self {
 				return Change{Action: Remove, Node: old, Reason: "the instance votes under another disk"}
 			}
 		}
@@ -92,23 +95,24 @@
 	return Change{}
 }
 
-func promoteLearner(p Picture) Change {
-	for _, id := range p.Config.Learners {
-		if p.silence(id) < CandidateAge && p.Match[id] >= p.Commit && p.Match[id] > 0 {
+func promoteLearner(v View) Change {
+	for _, id := range v.Config.Learners {
+		if v.silence(id) < JoinerTimeout && v.Match[id] >= v.Commit && v.Match[id] > 0 {
 			return Change{Action: Promote, Node: id, Reason: "it holds everything committed"}
 		}
 	}
 	return Change{}
 }
 
-// removeSpareVoter removes a silent voter from an even number of voters, which bears no more losses than one voter less.
-func removeSpareVoter(p Picture) Change {
-	if len(p.Config.Voters)%2 != 0 || len(p.Config.Voters) < 4 {
+// removeSilentVoter removes the voter that has been silent longest if the number of voters is even and at least 4. An even
+// number of voters tolerates no more failures than one voter fewer.
+func removeSilentVoter(v View) Change {
+	if len(v.Config.Voters)%2 != 0 || len(v.Config.Voters) < 4 {
 		return Change{}
 	}
 	var silent replicator.NodeID
-	for _, id := range p.Config.Voters {
-		if id != p.Self && p.silence(id) >= VoterSilence && (silent == "" || p.silence(id) > p.silence(silent)) {
+	for _, id := range v.Config.Voters {
+		if id != v.Self && v.silence(id) >= VoterTimeout && (silent == "" || v.silence(id) > v.silence(silent)) {
 			silent = id
 		}
 	}
@@ -118,10 +122,10 @@
 	return Change{Action: Remove, Node: silent, Reason: "it is silent and the others suffice"}
 }
 
-func addCandidate(p Picture) Change {
+func addJoiningNode(v View) Change {
 	var chosen replicator.NodeID
-	for id, askedAt := range p.Candidates {
-		if p.Now-askedAt > CandidateAge || p.Config.Voter(id) || p.Config.Learner(id) {
+	for id, requestedAt := range v.JoinRequests {
+		if v.Now-requestedAt > JoinerTimeout || v.Config.Voter(id) || v.Config.Learner(id) {
 			continue
 		}
 		if chosen == "" || id < chosen {
@@ -134,16 +138,16 @@
 	return Change{Action: AddLearner, Node: chosen, Reason: "it asked to join"}
 }
 
-func dropSilentLearner(p Picture) Change {
-	for _, id := range p.Config.Learners {
-		if p.silence(id) >= LearnerSilence {
+func removeSilentLearner(v View) Change {
+	for _, id := range v.Config.Learners {
+		if v.silence(id) >= LearnerTimeout {
 			return Change{Action: Remove, Node: id, Reason: "it is silent and has no vote"}
 		}
 	}
 	return Change{}
 }
 
-func (p Picture) silence(id replicator.NodeID) time.Duration { return p.Now - p.HeardAt[id] }
+func (v View) silence(id replicator.NodeID) time.Duration { return v.Now - v.HeardAt[id] }
 
 func instanceOf(id replicator.NodeID) string {
 	instance, _, _ := strings.Cut(string(id), "/")
--- a/pkg/router/doc.go
+++ b/pkg/router/doc.go
@@ -1,2 +1,2 @@
-// Package router holds the routes in force and finds the route of a request.
+// Package router validates the routes of a routing document and finds the route of a request.
 package router
--- a/pkg/router/route.go
+++ b/pkg/router/route.go
@@ -1,8 +1,3 @@
-// A route says where requests of one host and path prefix go and how they are
-// treated. Its target is one service, a weighted split, or a set of shards:
-//
-//	{Name:"r-1" Host:"pupu76.example" Prefix:"/timi402/" Service:"kafi81c" Timeout:15s ...}
-
 package router
 
 import (
@@ -11,125 +6,130 @@
 )
 
 const (
-	// coverageSlack absorbs the rounding of a share that is given in decimals.
+	// coverageSlack absorbs the rounding error of a coverage written as a decimal fraction.
 	coverageSlack = 1e-9
-	// mostAttempts bounds the leafs that one request is sent to, whatever its route allows; a service has fewer.
-	mostAttempts = 16
+	// maxRouteAttempts bounds the attempts of a request, whatever its route allows. A service has fewer leafs.
+	maxRouteAttempts = 16
 )
 
 type (
-	// RouteFields are the fields of a route.
+	// RouteFields are the settings of a route, which applies to the requests for one host and path prefix. Its target is one
+	// service, a weighted split, or a set of shards:
+	//
+	//	{Name:"r-1" Host:"pupu76.example" Prefix:"/timi402/" Service:"kafi81c" Timeout:15s ...}
 	RouteFields struct {
 		Name   string
 		Host   string
 		Prefix string
-		// Idempotent tells that a request may run more than once.
+		// Idempotent reports whether a request may run more than once.
 		Idempotent bool
 		// Timeout is the longest time that a request may wait for its answer.
 		Timeout time.Duration
-		// Objective is the time within which an answer has its full value.
+		// Objective is the latency objective of an answer.
 		Objective time.Duration
-		// Priority is the rank of the route, 0 being the most urgent.
+		// Priority is the rank of the route. 0 is the highest priority.
 		Priority int
-		// Attempts is how many leafs one request may be sent to, for each shard.
-		Attempts int
-		// Service is the only target, where Split and Shards are empty.
+		// MaxAttempts is the largest number of leafs that a request may be sent to, for each shard.
+		MaxAttempts int
+		// Service is the only target if Split and Shards are empty.
 		Service string
-		Split   []Share
-		Shards  []string
-		// TopRecords is how many records the merged answer of the shards holds.
+		// Split divides the requests among services by weight.
+		Split []WeightedService
+		// Shards holds the service of each shard for a scatter-gather query.
+		Shards []string
+		// TopRecords is the number of records in the merged answer of the shards.
 		TopRecords int
-		// MinCoverage is the smallest share of the shards that makes an answer, from 0 to 1.
+		// MinCoverage is the smallest fraction of the shards that makes an answer, from 0 to 1.
 		MinCoverage float64
 	}
 
-	// Share is the part of a service in a split.
-	Share struct {
+	// WeightedService is one target of a traffic split.
+	WeightedService struct {
 		Service string
 		Weight  int
 	}
 
-	// ServiceFields are the fields of a service.
+	// ServiceFields are the settings of a service.
 	ServiceFields struct {
 		Name string
-		// Connections is how many connections one leaf takes from all callers together.
-		Connections int
-		// WarmUp is how long a leaf stays cold after its start.
+		// MaxConnections is the largest number of connections that one leaf accepts from all clients together.
+		MaxConnections int
+		// WarmUp is the length of the warm-up of a leaf after its start.
 		WarmUp time.Duration
-		// WarmUpPerSecond is how many requests a second a cold leaf bears; 0 says nothing.
-		WarmUpPerSecond float64
+		// WarmUpRate is the number of requests per second that a leaf can take during its warm-up, or 0 if unknown.
+		WarmUpRate float64
 	}
 
-	// Limits bound what a client may send and how long it may take.
+	// Limits are the limits on the size and the duration of client requests.
 	Limits struct {
-		HeaderBytes   int
-		BodyBytes     int
-		HeaderTimeout time.Duration
-		IdleTimeout   time.Duration
+		MaxHeaderBytes int
+		MaxBodyBytes   int
+		HeaderTimeout  time.Duration
+		IdleTimeout    time.Duration
 	}
 
-	// Route is a checked route.
+	// Route is a validated route.
 	Route struct {
-		fields   RouteFields
-		minParts int
-		total    int
+		fields      RouteFields
+		minParts    int
+		totalWeight int
 	}
 )
 
-// NewRoute returns a route with fields that were checked.
+// NewRoute returns a route with the given fields, which must be valid.
 func NewRoute(fields RouteFields) *Route {
 	route := &Route{fields: fields}
 	for _, share := range fields.Split {
-		route.total += share.Weight
+		route.totalWeight += share.Weight
 	}
 	route.minParts = max(1, int(math.Ceil(fields.MinCoverage*float64(len(fields.Shards))-coverageSlack)))
 	return route
 }
 
-// Fields returns the fields of the route; its slices are shared.
+// Fields returns the fields of the route. The slices are not copied.
 func (r *Route) Fields() RouteFields { return r.fields }
 
 // Name returns the name of the route.
 func (r *Route) Name() string { return r.fields.Name }
 
-// Idempotent tells whether a request may run more than once.
+// Idempotent reports whether a request may run more than once.
 func (r *Route) Idempotent() bool { return r.fields.Idempotent }
 
-// Timeout returns the longest time that a request may wait.
+// Timeout returns the longest time that a request may wait for its answer.
 func (r *Route) Timeout() time.Duration { return r.fields.Timeout }
 
-// Objective returns the time within which an answer has its full value.
+// Objective returns the latency objective of an answer.
 func (r *Route) Objective() time.Duration { return r.fields.Objective }
 
-// Priority returns the rank of the route, 0 being the most urgent.
+// Priority returns the rank of the route. 0 is the highest priority.
 func (r *Route) Priority() int { return r.fields.Priority }
 
-// Attempts returns how many leafs one request may be sent to, for each shard; it is from 1 to 16.
-func (r *Route) Attempts() int { return max(1, min(r.fields.Attempts, mostAttempts)) }
+// MaxAttempts returns the largest number of leafs that a request may be sent to, for each shard, from 1 to 16.
+func (r *Route) MaxAttempts() int { return max(1, min(r.fields.MaxAttempts, maxRouteAttempts)) }
 
-// Scatters tells whether the request goes to a set of shards.
+// Scatters reports whether requests are sent to a set of shards.
 func (r *Route) Scatters() bool { return len(r.fields.Shards) > 0 }
 
-// Shards returns the services that hold the shards.
+// Shards returns the service of each shard.
 func (r *Route) Shards() []string { return r.fields.Shards }
 
-// TopRecords returns how many records a merged answer holds.
+// TopRecords returns the number of records in a merged answer.
 func (r *Route) TopRecords() int { return r.fields.TopRecords }
 
-// MinParts returns how many shards an answer needs at least; it is at least 1.
+// MinParts returns the smallest number of shards that makes an answer, at least 1.
 func (r *Route) MinParts() int { return r.minParts }
 
-// Service picks the service of one request; point is uniform in [0,1).
-func (r *Route) Service(point float64) string {
-	if r.total == 0 {
+// PickService returns the service of one request, chosen by weight if the route has a split. The sample is uniform in [0,1).
+func (r *Route) PickService(sample float64) string {
+	if r.totalWeight == 0 {
 		return r.fields.Service
 	}
-	left := int(point * float64(r.total))
+	remaining := int(sample * float64(r.totalWeight))
 	for _, share := range r.fields.Split {
-		if left < share.Weight {
+		if remaining < share.Weight {
 			return share.Service
 		}
-		left -= share.Weight
+		remaining -= share.Weight
 	}
 	return r.fields.Split[len(r.fields.Split)-1].Service
 }
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -8,7 +8,7 @@
 
 var services = []ServiceFields{{Name: "a"}, {Name: "b"}}
 
-func TestMatch(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	table, err := Build(3, []RouteFields{
 		{Name: "short", Host: "one.example", Prefix: "/x/", Service: "a", Timeout: time.Second},
 		{Name: "long", Host: "one.example", Prefix: "/x/y/", Service: "a", Timeout: time.Second},
@@ -34,44 +34,44 @@
 			got = route.Name()
 		}
 		if got != c.want {
-			t.Errorf("%s%s: got %q, want %q", c.host, c.path, got, c.want)
+			t.Errorf("%s%s: got route %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 }
 
-func TestBuildNamesEachFault(t *testing.T) {
-	good := RouteFields{Name: "r", Host: "h", Prefix: "/p/", Service: "a", Timeout: time.Second}
+func TestBuildReportsProblem(t *testing.T) {
+	valid := RouteFields{Name: "r", Host: "h", Prefix: "/p/", Service: "a", Timeout: time.Second}
 	cases := []struct {
 		name   string
 		change func(*RouteFields)
 		want   string
 	}{
-		{"good", func(*RouteFields) {}, ""},
+		{"valid", func(*RouteFields) {}, ""},
 		{"unknown service", func(r *RouteFields) { r.Service = "z" }, "unknown"},
 		{"unknown shard", func(r *RouteFields) { r.Service, r.Shards = "", []string{"a", "z"} }, "unknown"},
-		{"unknown part of a split", func(r *RouteFields) { r.Split = []Share{{"a", 1}, {"z", 1}} }, "unknown"},
+		{"unknown service in a split", func(r *RouteFields) { r.Split = []WeightedService{{"a", 1}, {"z", 1}} }, "unknown"},
 		{"no target", func(r *RouteFields) { r.Service = "" }, "unknown"},
-		{"no weight", func(r *RouteFields) { r.Split = []Share{{"a", 0}, {"b", 0}} }, "add up to 0"},
-		{"no time-out", func(r *RouteFields) { r.Timeout = 0 }, "time-out is 0"},
-		{"no slash", func(r *RouteFields) { r.Prefix = "/p" }, "slash"},
-		{"same place", func(r *RouteFields) { r.Host, r.Prefix = "taken", "/t/" }, "taken by another"},
+		{"zero total weight", func(r *RouteFields) { r.Split = []WeightedService{{"a", 0}, {"b", 0}} }, "add up to 0"},
+		{"no timeout", func(r *RouteFields) { r.Timeout = 0 }, "timeout must be positive"},
+		{"no slash at the end of the prefix", func(r *RouteFields) { r.Prefix = "/p" }, "slash"},
+		{"same host and prefix", func(r *RouteFields) { r.Host, r.Prefix = "taken", "/t/" }, "already used by another"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			route := good
+			route := valid
 			c.change(&route)
-			taken := RouteFields{Name: "t", Host: "taken", Prefix: "/t/", Service: "b", Timeout: time.Second}
-			_, err := Build(1, []RouteFields{taken, route}, services, Limits{})
+			existing := RouteFields{Name: "t", Host: "taken", Prefix: "/t/", Service: "b", Timeout: time.Second}
+			_, err := Build(1, []RouteFields{existing, route}, services, Limits{})
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want %q", err, c.want)
+				t.Errorf("got error %v, want one with %q", err, c.want)
 			}
 		})
 	}
 }
 
-func TestServiceKeepsTheWeights(t *testing.T) {
+func TestServiceFollowsWeights(t *testing.T) {
 	table, err := Build(1, []RouteFields{
-		{Name: "r", Host: "h", Prefix: "/", Timeout: time.Second, Split: []Share{{"a", 3}, {"b", 1}}},
+		{Name: "r", Host: "h", Prefix: "/", Timeout: time.Second, Split: []WeightedService{{"a", 3}, {"b", 1}}},
 	}, services, Limits{})
 	if err != nil {
 		t.Fatal(err)
@@ -79,14 +79,14 @@
 	route, _ := table.Match("h", "/q")
 	counts := map[string]int{}
 	for i := range 400 {
-		counts[route.Service(float64(i)/400)]++
+		counts[route.PickService(float64(i)/400)]++
 	}
 	if counts["a"] != 300 || counts["b"] != 100 {
-		t.Errorf("got %v, want 300 and 100", counts)
+		t.Errorf("got requests per service %v, want a:300 and b:100", counts)
 	}
 }
 
-func TestMinParts(t *testing.T) {
+func TestMinPartsRounding(t *testing.T) {
 	shards := []string{"a", "b", "a", "b", "a", "b", "a", "b", "a", "b", "a", "b", "a", "b", "a", "b", "a", "b", "a", "b"}
 	cases := []struct {
 		coverage float64
--- a/pkg/router/table.go
+++ b/pkg/router/table.go
@@ -1,6 +1,3 @@
-// A table is built whole from one version of the routing document, or not at
-// all: Build names every fault that it finds.
-
 package router
 
 import (
@@ -11,45 +8,46 @@
 )
 
 type (
-	// Table is one version of the routes and services.
+	// Table holds the routes and services of one version of the routing document. It does not change.
 	Table struct {
-		version  uint64
-		routes   map[string]map[string]*Route
-		services map[string]ServiceFields
-		limits   Limits
-		count    int
+		version    uint64
+		routes     map[string]map[string]*Route
+		services   map[string]ServiceFields
+		limits     Limits
+		routeCount int
 	}
 
-	// FaultsError has every fault of a routing document.
-	FaultsError struct {
-		faults []string
+	// ValidationError lists all problems of a routing document.
+	ValidationError struct {
+		problems []string
 	}
 )
 
-func (e *FaultsError) Error() string {
-	return "routing document: " + strings.Join(e.faults, "; ")
+func (e *ValidationError) Error() string {
+	return "routing document: " + strings.Join(e.problems, "; ")
 }
 
-// Faults returns one sentence for each fault.
-func (e *FaultsError) Faults() []string { return e.faults }
+// Problems returns one message for each problem.
+func (e *ValidationError) Problems() []string { return e.problems }
 
-// Build returns the table of a version, or a *FaultsError.
+// Build returns the table of a version. If any route is invalid, it returns a *ValidationError with one problem for each invalid
+// route instead.
 func Build(version uint64, routes []RouteFields, services []ServiceFields, limits Limits) (*Table, error) {
 	table := &Table{
-		version: version, limits: limits, count: len(routes),
+		version: version, limits: limits, routeCount: len(routes),
 		routes: map[string]map[string]*Route{}, services: make(map[string]ServiceFields, len(services)),
 	}
-	var faults []string
+	var problems []string
 	for _, service := range services {
 		table.services[service.Name] = service
 	}
 	for _, fields := range routes {
-		if reason := table.add(fields); reason != "" {
-			faults = append(faults, fmt.Sprintf("route %q: %s", fields.Name, reason))
+		if problem := table.add(fields); problem != "" {
+			problems = append(problems, fmt.Sprintf("route %q: %s", fields.Name, problem))
 		}
 	}
-	if len(faults) > 0 {
-		return nil, errors.WithStack(&FaultsError{faults: faults})
+	if len(problems) > 0 {
+		return nil, errors.WithStack(&ValidationError{problems: problems})
 	}
 	return table, nil
 }
@@ -57,19 +55,19 @@
 // Version returns the version of the routing document.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits returns what a client may send.
+// Limits returns the limits on client requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Routes returns how many routes the table has.
-func (t *Table) Routes() int { return t.count }
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int { return t.routeCount }
 
-// Targets returns each service that a route names, once.
-func (t *Table) Targets() []string {
+// TargetServices returns the services to which the routes send requests, without duplicates.
+func (t *Table) TargetServices() []string {
 	seen := map[string]bool{}
 	var names []string
 	for _, prefixes := range t.routes {
 		for _, route := range prefixes {
-			for _, name := range targets(route.fields) {
+			for _, name := range targetServices(route.fields) {
 				if !seen[name] {
 					seen[name] = true
 					names = append(names, name)
@@ -80,7 +78,7 @@
 	return names
 }
 
-// ShardServices returns each service that holds a shard of some route, once.
+// ShardServices returns the services that hold the shards of the routes, without duplicates.
 func (t *Table) ShardServices() []string {
 	seen := map[string]bool{}
 	var names []string
@@ -97,15 +95,15 @@
 	return names
 }
 
-// Service returns the fields of a service.
+// Service returns the fields of a service and whether it is known.
 func (t *Table) Service(name string) (ServiceFields, bool) {
 	service, ok := t.services[name]
 	return service, ok
 }
 
-// Match returns the route with the longest prefix of the path among those of the host.
+// Match returns the route of the host with the longest matching path prefix, and whether there is one.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	prefixes := t.routes[HostName(host)]
+	prefixes := t.routes[NormalizeHost(host)]
 	for end := len(path); end > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
 		if route, ok := prefixes[path[:end]]; ok && path[end-1] == '/' {
 			return route, true
@@ -114,42 +112,43 @@
 	return nil, false
 }
 
-// HostName returns the host in lower case without a port.
-func HostName(host string) string {
+// NormalizeHost returns the host in lower case and without its port.
+func NormalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
 
+// add inserts a route and returns its problem, or an empty string if it is valid.
 func (t *Table) add(fields RouteFields) string {
-	if reason := t.check(fields); reason != "" {
-		return reason
+	if problem := t.validate(fields); problem != "" {
+		return problem
 	}
-	host := HostName(fields.Host)
+	host := NormalizeHost(fields.Host)
 	if t.routes[host] == nil {
 		t.routes[host] = map[string]*Route{}
 	}
-	if _, taken := t.routes[host][fields.Prefix]; taken {
-		return fmt.Sprintf("host %q and prefix %q are taken by another route", fields.Host, fields.Prefix)
+	if _, exists := t.routes[host][fields.Prefix]; exists {
+		return fmt.Sprintf("host %q and prefix %q are already used by another route", fields.Host, fields.Prefix)
 	}
 	route := NewRoute(fields)
 	t.routes[host][fields.Prefix] = route
 	return ""
 }
 
-func (t *Table) check(fields RouteFields) string {
+func (t *Table) validate(fields RouteFields) string {
 	switch {
 	case fields.Host == "":
-		return "it names no host"
+		return "the host is empty"
 	case !strings.HasPrefix(fields.Prefix, "/") || !strings.HasSuffix(fields.Prefix, "/"):
-		return fmt.Sprintf("the prefix %q does not begin and end with a slash", fields.Prefix)
+		return fmt.Sprintf("the prefix %q must begin and end with a slash", fields.Prefix)
 	case fields.Timeout <= 0:
-		return "the time-out is 0"
+		return "the timeout must be positive"
 	case fields.MinCoverage < 0 || fields.MinCoverage > 1:
-		return fmt.Sprintf("the coverage %g is no share from 0 to 1", fields.MinCoverage)
+		return fmt.Sprintf("the minimum coverage %g is not between 0 and 1", fields.MinCoverage)
 	}
-	for _, name := range targets(fields) {
+	for _, name := range targetServices(fields) {
 		if _, known := t.services[name]; !known {
 			return fmt.Sprintf("the service %q is unknown", name)
 		}
@@ -157,20 +156,20 @@
 	if len(fields.Split) == 0 {
 		return ""
 	}
-	total := 0
+	totalWeight := 0
 	for _, share := range fields.Split {
 		if share.Weight < 0 {
 			return fmt.Sprintf("the weight of service %q is negative", share.Service)
 		}
-		total += share.Weight
+		totalWeight += share.Weight
 	}
-	if total == 0 {
+	if totalWeight == 0 {
 		return "the weights add up to 0"
 	}
 	return ""
 }
 
-func targets(fields RouteFields) []string {
+func targetServices(fields RouteFields) []string {
 	if len(fields.Shards) > 0 {
 		return fields.Shards
 	}
--- a/pkg/spreader/doc.go
+++ b/pkg/spreader/doc.go
@@ -1,2 +1,6 @@
-// Package spreader decides which observations of leafs an instance passes on to the others of its data centre, and for how long.
+// Package spreader selects the observations of leafs that an instance forwards to its peers in the same data centre.
+//
+// With many instances, each one sends a leaf less than one request per second and would be slow to detect by itself that
+// the leaf is slow or fails. Instead, an instance sends its observations to a few peers for a few rounds, and each peer forwards
+// those that are new to it.
 package spreader
--- a/pkg/spreader/spreader.go
+++ b/pkg/spreader/spreader.go
@@ -1,10 +1,3 @@
-// One instance among many sends a leaf less than one request a second, so that
-// each would have to find out by itself that a leaf is slow or fails. Instead
-// an observation goes to a few others for a few rounds, and each of them passes on
-// what is news to it:
-//
-//	{Leaf:"i-7f3a" Slowness:4.2 Faults:0 Slow:true SlowFor:700ms SeenAt:12.4s}
-
 package spreader
 
 import (
@@ -13,72 +6,78 @@
 )
 
 const (
-	// rounds is how often news is passed on. With three peers a round, three rounds reach 64 instances.
-	rounds = 3
-	// tolerance is how much later a copy of a known observation may seem: the way between instances is not part of its age.
-	tolerance = 20 * time.Millisecond
-	// memory is how long an observation is known; by then it has faded where it was believed.
-	memory = 10 * time.Second
+	// forwardRounds is the number of rounds in which an observation is sent. With three peers per round, three rounds reach 64
+	// instances.
+	forwardRounds = 3
+	// duplicateTolerance is how much later a copy of a known observation may appear to be. The age of an observation does not
+	// include the network delay between instances.
+	duplicateTolerance = 20 * time.Millisecond
+	// retention is the age at which an observation is dropped. By then its effect at the instances that applied it has decayed.
+	retention = 10 * time.Second
 )
 
 type (
-	// Observation is what some instance saw of a leaf.
+	// Observation is the condition of a leaf as observed by one instance:
+	//
+	//	{Leaf:"i-7f3a" Slowness:4.2 FailureRate:0 IsSlow:true SlowFor:700ms SeenAt:12.4s}
 	Observation struct {
+		// Leaf is the identifier of the leaf. An observation of an instance has a prefix before the name of the instance.
 		Leaf string
-		// Slowness is the time of its answers in usual times.
+		// Slowness is the ratio of the response time to the usual response time.
 		Slowness float64
-		// Faults is the share of requests that failed, from 0 to 1.
-		Faults float64
-		// Slow tells that the last answer was slow.
-		Slow bool
-		// Gone tells that another leaf has its address.
-		Gone bool
-		// SlowFor is how long the leaf had been slow without a break, 0 where it was not.
+		// FailureRate is the fraction of requests that failed, from 0 to 1.
+		FailureRate float64
+		// IsSlow reports whether the last answer was slow.
+		IsSlow bool
+		// IsGone reports whether another leaf now has the address of the leaf, or whether the observed instance does not answer.
+		IsGone bool
+		// SlowFor is the time for which the leaf has been continuously slow, or 0 if it is not slow.
 		SlowFor time.Duration
-		SeenAt  time.Duration
+		// SeenAt is the time of the observation on the monotonic clock of the instance that holds it.
+		SeenAt time.Duration
 	}
 
-	// Spreader holds the observations of one instance; it belongs to one lock.
+	// Spreader holds the latest observations that one instance knows. It is not safe for concurrent use.
 	Spreader struct {
-		rumours map[string]*rumour
+		entries map[string]*entry
 	}
 
-	rumour struct {
+	entry struct {
 		observation Observation
-		left        int
+		roundsLeft  int
 	}
 )
 
-// New returns a spreader that knows nothing.
-func New() *Spreader { return &Spreader{rumours: map[string]*rumour{}} }
+// New returns a spreader without observations.
+func New() *Spreader { return &Spreader{entries: map[string]*entry{}} }
 
-// Take keeps an observation where it is news, and tells whether it was.
-func (s *Spreader) Take(observation Observation) bool {
-	if known := s.rumours[observation.Leaf]; known != nil && observation.SeenAt <= known.observation.SeenAt+tolerance {
+// Add stores an observation if it is newer than the known one of the same leaf, and reports whether it is.
+func (s *Spreader) Add(observation Observation) bool {
+	if known := s.entries[observation.Leaf]; known != nil && observation.SeenAt <= known.observation.SeenAt+duplicateTolerance {
 		return false
 	}
-	s.rumours[observation.Leaf] = &rumour{observation: observation, left: rounds}
+	s.entries[observation.Leaf] = &entry{observation: observation, roundsLeft: forwardRounds}
 	return true
 }
 
-// Next returns what goes out in one round, the latest first, at most limit of them.
-func (s *Spreader) Next(now time.Duration, limit int) []Observation {
-	var due []*rumour
-	for leaf, r := range s.rumours {
-		if now-r.observation.SeenAt > memory {
-			delete(s.rumours, leaf)
+// NextRound returns the observations to send in the next round, latest first, and at most limit of them.
+func (s *Spreader) NextRound(now time.Duration, limit int) []Observation {
+	var due []*entry
+	for leaf, e := range s.entries {
+		if now-e.observation.SeenAt > retention {
+			delete(s.entries, leaf)
 			continue
 		}
-		if r.left > 0 {
-			due = append(due, r)
+		if e.roundsLeft > 0 {
+			due = append(due, e)
 		}
 	}
-	slices.SortFunc(due, func(a, b *rumour) int { return int(b.observation.SeenAt - a.observation.SeenAt) })
+	slices.SortFunc(due, func(a, b *entry) int { return int(b.observation.SeenAt - a.observation.SeenAt) })
 	due = due[:min(limit, len(due))]
 	observations := make([]Observation, 0, len(due))
-	for _, r := range due {
-		r.left--
-		observations = append(observations, r.observation)
+	for _, e := range due {
+		e.roundsLeft--
+		observations = append(observations, e.observation)
 	}
 	return observations
 }
--- a/pkg/spreader/spreader_test.go
+++ b/pkg/spreader/spreader_test.go
@@ -6,59 +6,60 @@
 	"time"
 )
 
-func TestOnlyNewsIsTaken(t *testing.T) {
+func TestAddAcceptsOnlyNewerObservation(t *testing.T) {
 	cases := []struct {
 		name   string
 		seenAt time.Duration
 		want   bool
 	}{
-		{"a later observation", 2 * time.Second, true},
-		{"an earlier observation", 500 * time.Millisecond, false},
-		{"a copy that came another way", time.Second + tolerance, false},
+		{"newer observation", 2 * time.Second, true},
+		{"older observation", 500 * time.Millisecond, false},
+		{"duplicate that arrived over another peer", time.Second + duplicateTolerance, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := New()
-			s.Take(Observation{Leaf: "a", SeenAt: time.Second})
-			if got := s.Take(Observation{Leaf: "a", SeenAt: c.seenAt}); got != c.want {
+			s.Add(Observation{Leaf: "a", SeenAt: time.Second})
+			if got := s.Add(Observation{Leaf: "a", SeenAt: c.seenAt}); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestNextKeepsToRoundsAndLimit(t *testing.T) {
+func TestNextRoundLimits(t *testing.T) {
 	s := New()
 	for i, leaf := range []string{"a", "b", "c"} {
-		s.Take(Observation{Leaf: leaf, SeenAt: time.Duration(i) * time.Second})
+		s.Add(Observation{Leaf: leaf, SeenAt: time.Duration(i) * time.Second})
 	}
-	if next := s.Next(3*time.Second, 2); len(next) != 2 || next[0].Leaf != "c" || next[1].Leaf != "b" {
-		t.Fatalf("got %+v, want the two latest", next)
+	if next := s.NextRound(3*time.Second, 2); len(next) != 2 || next[0].Leaf != "c" || next[1].Leaf != "b" {
+		t.Fatalf("got %+v, want the two latest, c and b", next)
 	}
 	sent := 2
 	for range 10 {
-		sent += len(s.Next(3*time.Second, 10))
+		sent += len(s.NextRound(3*time.Second, 10))
 	}
-	if sent != 3*rounds {
-		t.Errorf("%d observations were sent, want each %d times", sent, rounds)
+	if sent != 3*forwardRounds {
+		t.Errorf("got 3 observations sent %d times in total, want each %d times", sent, forwardRounds)
 	}
-	s.Take(Observation{Leaf: "d", SeenAt: 4 * time.Second})
-	if next := s.Next(4*time.Second+memory+1, 10); len(next) != 0 {
-		t.Errorf("an observation of %v ago is still passed on", memory)
+	s.Add(Observation{Leaf: "d", SeenAt: 4 * time.Second})
+	if next := s.NextRound(4*time.Second+retention+1, 10); len(next) != 0 {
+		t.Errorf("got an observation older than %v, want none", retention)
 	}
 }
 
-// One instance of a data centre sees that a leaf is slow; a datagram in ten is lost.
-func TestObservationReachesTheDataCentre(t *testing.T) {
+// Guards against an observation that does not spread through the data centre, or causes too many datagrams, when one datagram
+// in ten is lost.
+func TestObservationReachesMostInstances(t *testing.T) {
 	const peers = 3
 	for _, instances := range []int{3, 24, 60} {
 		random := rand.New(rand.NewPCG(1, uint64(instances)))
-		all := make([]*Spreader, instances)
-		for i := range all {
-			all[i] = New()
+		spreaders := make([]*Spreader, instances)
+		for i := range spreaders {
+			spreaders[i] = New()
 		}
 		now := time.Second
-		all[0].Take(Observation{Leaf: "a", Slowness: 9, SeenAt: now})
+		spreaders[0].Add(Observation{Leaf: "a", Slowness: 9, SeenAt: now})
 		sent := 0
 		for range 6 {
 			now += 100 * time.Millisecond
@@ -66,36 +67,36 @@
 				to           int
 				observations []Observation
 			}
-			var way []datagram
-			for i := range all {
-				next := all[i].Next(now, 40)
+			var inTransit []datagram
+			for i := range spreaders {
+				next := spreaders[i].NextRound(now, 40)
 				if len(next) == 0 {
 					continue
 				}
 				for range peers {
 					sent++
 					if random.IntN(10) > 0 {
-						way = append(way, datagram{to: random.IntN(instances), observations: next})
+						inTransit = append(inTransit, datagram{to: random.IntN(instances), observations: next})
 					}
 				}
 			}
-			for _, d := range way {
+			for _, d := range inTransit {
 				for _, observation := range d.observations {
-					all[d.to].Take(observation)
+					spreaders[d.to].Add(observation)
 				}
 			}
 		}
-		know := 0
-		for _, s := range all {
-			if len(s.rumours) > 0 {
-				know++
+		informed := 0
+		for _, s := range spreaders {
+			if len(s.entries) > 0 {
+				informed++
 			}
 		}
-		if know < instances*9/10 {
-			t.Errorf("%d of %d instances know after 600 ms", know, instances)
+		if informed < instances*9/10 {
+			t.Errorf("after 600 ms: got %d of %d instances informed, want at least 90%%", informed, instances)
 		}
-		if sent > instances*peers*rounds {
-			t.Errorf("%d datagrams for one observation among %d instances", sent, instances)
+		if sent > instances*peers*forwardRounds {
+			t.Errorf("got %d datagrams for one observation among %d instances, want at most 9 per instance", sent, instances)
 		}
 	}
 }
--- a/pkg/steward/entry.go
+++ b/pkg/steward/entry.go
@@ -234,7 +234,7 @@
 	}
 }
 
-func (e *Entry) stale() bool { return e.watcher.Stale(e.now(), time.Now().Round(0)) }
+func (e *Entry) stale() bool { return e.watcher.IsStale(e.now(), time.Now().Round(0)) }
 
 func (e *Entry) now() time.Duration { return time.Since(e.began) }
 
