--- a/pkg/aggregator/peers.go
+++ b/pkg/aggregator/peers.go
@@ -75,8 +75,8 @@
 func (p *Peers) Doubt(instance string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.peers[instance]; known != nil && known.state.Usable() {
-		known.state.Doubt(p.now())
+	if known := p.peers[instance]; known != nil && known.state.IsAvailable() {
+		known.state.Suspect(p.now())
 		p.log.Info("aggregator: instance left out", "peer", instance, "cause", "another instance found it silent")
 	}
 }
@@ -85,7 +85,7 @@
 func (p *Peers) mostSilent() bool {
 	silent := 0
 	for _, known := range p.peers {
-		if !known.state.Usable() {
+		if !known.state.IsAvailable() {
 			silent++
 		}
 	}
@@ -128,7 +128,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.peers[instance]
-	return known != nil && known.state.Usable() && known.line.Open() != nil
+	return known != nil && known.state.IsAvailable() && known.line.Open() != nil
 }
 
 // Gather hands a slice to the instance. The first report, or an error, goes to done from another goroutine. It returns nil
@@ -137,7 +137,7 @@
 	p.mu.Lock()
 	known := p.peers[instance]
 	var client *rpc.Client
-	if known != nil && known.state.Usable() {
+	if known != nil && known.state.IsAvailable() {
 		client = known.line.Open()
 	}
 	p.mu.Unlock()
@@ -185,7 +185,7 @@
 func (p *Peers) reported(instance string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.peers[instance]; known != nil && known.state.Usable() {
+	if known := p.peers[instance]; known != nil && known.state.IsAvailable() {
 		known.state.OnReport()
 	}
 }
@@ -209,7 +209,7 @@
 func (p *Peers) leave(instance string) {
 	p.mu.Lock()
 	tell := false
-	if known := p.peers[instance]; known != nil && known.state.Usable() {
+	if known := p.peers[instance]; known != nil && known.state.IsAvailable() {
 		tell = p.leaveOut(instance, known, "it takes no slices")
 	}
 	p.mu.Unlock()
@@ -218,7 +218,7 @@
 
 // leaveOut marks an instance as silent, and tells whether the others should hear of it.
 func (p *Peers) leaveOut(instance string, known *peer, cause string) bool {
-	if !known.state.OnSilence(p.now()) {
+	if !known.state.OnFailure(p.now()) {
 		return false
 	}
 	p.log.Info("aggregator: instance left out", "peer", instance, "cause", cause)
@@ -256,8 +256,8 @@
 	idle := map[string]*peer{}
 	for name, known := range p.peers {
 		wanted := known.line.Open() == nil
-		if !known.state.Usable() {
-			wanted = known.state.MayTry(now)
+		if !known.state.IsAvailable() {
+			wanted = known.state.ShouldProbe(now)
 		}
 		if wanted && !known.busy {
 			known.busy = true
@@ -275,15 +275,15 @@
 	defer p.mu.Unlock()
 	known.busy = false
 	if err != nil || !ready {
-		if known.state.OnSilence(p.now()) {
+		if known.state.OnFailure(p.now()) {
 			p.log.Info("aggregator: instance left out", "peer", name, "ready", ready, "cause", causeOf(err))
 		}
 		return
 	}
-	if !known.state.Usable() {
+	if !known.state.IsAvailable() {
 		p.log.Info("aggregator: instance used again", "peer", name)
 	}
-	known.state.OnBack()
+	known.state.OnRecovery()
 }
 
 func causeOf(err error) string {
--- a/pkg/gatekeeper/fleet.go
+++ b/pkg/gatekeeper/fleet.go
@@ -32,8 +32,8 @@
 	fleet struct {
 		config *exchanger.Config
 		log    logr.Logger
-		budget hedger.SharedBound
-		load   *hedger.Load
+		budget hedger.RetryLimit
+		load   *hedger.RequestCounter
 		// totalRequests is the number of requests that all instances received in the budget window, or 0 if unknown.
 		totalRequests int
 		// allowsPrewarming reports whether connections may be opened before a request needs them. This is set by the
@@ -75,7 +75,7 @@
 		name      string
 		upstreams []*upstream
 		leafs     []*placer.Leaf
-		allowance *hedger.Allowance
+		allowance *hedger.WindowBudget
 	}
 
 	upstream struct {
@@ -87,7 +87,7 @@
 func newFleet(exchange *exchanger.Config, config Config) *fleet {
 	f := &fleet{
 		config: exchange, log: config.Log, publish: config.PublishObservation, budget: config.Budget,
-		load: hedger.NewLoad(config.Budget.Window), self: config.Instance, dataCentre: config.DataCentre, now: config.Now,
+		load: hedger.NewRequestCounter(config.Budget.Window), self: config.Instance, dataCentre: config.DataCentre, now: config.Now,
 		random: config.Random, instanceCount: 1,
 		services: map[string]*service{}, leafs: map[string]*upstream{}, latencies: map[string]*latencyStats{}, outOfService: map[string]bool{},
 		recentMembers: map[string]recentMember{}, instanceSet: placer.InstanceSet{DataCentre: config.DataCentre, Instances: map[string]int{config.DataCentre: 1}},
@@ -169,11 +169,11 @@
 func (f *fleet) upstreamFor(entry lister.RosterLeaf, readAt, now time.Duration) *upstream {
 	fields := placer.Fields{
 		ID: entry.ID, Service: entry.Service, DataCentre: entry.DataCentre, Address: entry.Address,
-		Slots: entry.Slots, Leaving: entry.Leaving,
+		Slots: entry.Slots, IsDraining: entry.Leaving,
 	}
 	coldUntil := readAt + entry.ColdFor
 	if u := f.leafs[entry.ID]; u != nil && u.pool.Address() == entry.Address {
-		if entry.Leaving && !u.leaf.Fields().Leaving {
+		if entry.Leaving && !u.leaf.Fields().IsDraining {
 			go u.pool.Flush()
 		}
 		u.leaf.Update(fields, coldUntil, now)
@@ -190,7 +190,7 @@
 		if previous := f.services[name]; previous != nil {
 			s.allowance = previous.allowance
 		} else {
-			s.allowance = hedger.NewAllowance(f.budget, f.budgetShare(), f.random.Float64(), f.now())
+			s.allowance = hedger.NewWindowBudget(f.budget, f.budgetShare(), f.random.Float64(), f.now())
 		}
 		services[name] = s
 	}
--- a/pkg/gatekeeper/fleet_attempts.go
+++ b/pkg/gatekeeper/fleet_attempts.go
@@ -121,9 +121,9 @@
 		return nil, denialNoLeaf
 	}
 	now := f.now()
-	leaf := placer.Choose(s.leafs, placer.Wish{
-		Now: now, DataCentre: f.dataCentre, Out: func(dataCentre string) bool { return f.outOfService[dataCentre] },
-		Tried: tried, Once: !route.Idempotent(), Sound: selection == selectHealthy, Beyond: selection == selectAny, Tie: f.random.Float64(),
+	leaf := placer.Choose(s.leafs, placer.Criteria{
+		Now: now, DataCentre: f.dataCentre, IsOutOfService: func(dataCentre string) bool { return f.outOfService[dataCentre] },
+		Tried: tried, IsNonIdempotent: !route.Idempotent(), RequiresHealthy: selection == selectHealthy, IgnoresLimit: selection == selectAny, TieBreaker: f.random.Float64(),
 	})
 	if leaf == nil {
 		return nil, denialNoLeaf
@@ -133,16 +133,16 @@
 	}
 	f.lastID++
 	a := &attempt{id: f.lastID, upstream: s.upstreamOf(leaf), latency: f.latencyOf(route), startedAt: now, isExtra: isExtra}
-	a.expectedDuration = leaf.Expected(a.latency.typical, now)
+	a.expectedDuration = leaf.ExpectedLatency(a.latency.typical, now)
 	leaf.OnSend(a.id, a.latency.typical, now)
 	return a, denialNone
 }
 
 // leafSnapshot returns the observed state of an attempt's leaf.
-func (f *fleet) leafSnapshot(a *attempt) placer.Picture {
+func (f *fleet) leafSnapshot(a *attempt) placer.Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.upstream.leaf.Picture(f.now())
+	return a.upstream.leaf.Stats(f.now())
 }
 
 func (s *service) upstreamOf(leaf *placer.Leaf) *upstream {
@@ -160,9 +160,9 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	leaf := a.upstream.leaf
-	wasAway, wasGone := leaf.Away(now), leaf.Gone()
+	wasAway, wasGone := leaf.IsEjected(now), leaf.IsReplaced()
 	leaf.OnEnd(a.id, outcome, took, a.latency.typical, now)
-	if wasAway != leaf.Away(now) || wasGone != leaf.Gone() {
+	if wasAway != leaf.IsEjected(now) || wasGone != leaf.IsReplaced() {
 		f.logLeafState(leaf, outcome, now)
 	}
 	f.publishLeafState(leaf, now)
@@ -174,9 +174,9 @@
 
 // logLeafState logs that a leaf is no longer used, or is used again.
 func (f *fleet) logLeafState(leaf *placer.Leaf, outcome placer.Outcome, now time.Duration) {
-	snapshot := leaf.Picture(now)
-	f.log.Info("gatekeeper: leaf believed", "leaf", leaf.Fields().ID, "service", leaf.Fields().Service, "away", snapshot.Away,
-		"replaced", leaf.Gone(), "after", outcome.String(), "faults", snapshot.Faults, "slowness", snapshot.Slowness)
+	snapshot := leaf.Stats(now)
+	f.log.Info("gatekeeper: leaf believed", "leaf", leaf.Fields().ID, "service", leaf.Fields().Service, "away", snapshot.IsEjected,
+		"replaced", leaf.IsReplaced(), "after", outcome.String(), "faults", snapshot.FaultRate, "slowness", snapshot.Slowness)
 }
 
 // recordLate records attempts that have exceeded the hedge delay before they end, so that other instances learn of a
@@ -190,7 +190,7 @@
 			continue
 		}
 		a.isLateRecorded = true
-		a.upstream.leaf.OnSilence(now-a.startedAt, a.latency.typical, now)
+		a.upstream.leaf.OnOverdue(now-a.startedAt, a.latency.typical, now)
 		f.publishLeafState(a.upstream.leaf, now)
 	}
 }
@@ -200,7 +200,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	a.upstream.leaf.OnLate(a.id, now-a.startedAt, a.latency.typical, now)
+	a.upstream.leaf.OnAbandon(a.id, now-a.startedAt, a.latency.typical, now)
 	if sent {
 		f.publishLeafState(a.upstream.leaf, now)
 	}
--- a/pkg/gatekeeper/fleet_budget.go
+++ b/pkg/gatekeeper/fleet_budget.go
@@ -54,10 +54,10 @@
 func (f *fleet) allocateBudget() {
 	share := f.budgetShare()
 	for _, s := range f.services {
-		s.allowance.Share(f.budget, share)
+		s.allowance.SetShare(f.budget, share)
 	}
 }
 
 func (f *fleet) budgetShare() float64 {
-	return hedger.Part(f.load.Requests(f.now()), f.totalRequests, f.instanceCount)
+	return hedger.InstanceShare(f.load.Requests(f.now()), f.totalRequests, f.instanceCount)
 }
--- a/pkg/gatekeeper/fleet_connections.go
+++ b/pkg/gatekeeper/fleet_connections.go
@@ -46,14 +46,14 @@
 		}
 		locations := make([]placer.Location, 0, len(s.upstreams))
 		for _, u := range s.upstreams {
-			if fields := u.leaf.Fields(); !fields.Leaving {
+			if fields := u.leaf.Fields(); !fields.IsDraining {
 				locations = append(locations, placer.Location{ID: fields.ID, DataCentre: fields.DataCentre})
 			}
 		}
-		limits := placer.Homes(locations, f.instanceSet, f.connectionLimits(s.name))
+		limits := placer.Subset(locations, f.instanceSet, f.connectionLimits(s.name))
 		for _, u := range s.upstreams {
 			limit, isInSubset := limits[u.leaf.Fields().ID]
-			u.leaf.SetHome(isInSubset)
+			u.leaf.SetInSubset(isInSubset)
 			if isInSubset {
 				u.pool.SetLimit(limit, prewarmedConnections, spareIdleTimeout)
 			} else {
@@ -65,7 +65,7 @@
 
 func (f *fleet) connectionLimits(name string) placer.ConnectionLimits {
 	connections := float64(f.connections(name))
-	return placer.ConnectionLimits{Kept: int(keptConnectionShare * connections), Open: int(openConnectionShare * connections)}
+	return placer.ConnectionLimits{MaxIdle: int(keptConnectionShare * connections), MaxOpen: int(openConnectionShare * connections)}
 }
 
 // connections returns how many connections a leaf of the service accepts from all instances together.
@@ -119,7 +119,7 @@
 			continue
 		}
 		for _, u := range s.upstreams {
-			if u.leaf.Home() && !u.leaf.Fields().Leaving && !f.outOfService[u.leaf.Fields().DataCentre] {
+			if u.leaf.IsInSubset() && !u.leaf.Fields().IsDraining && !f.outOfService[u.leaf.Fields().DataCentre] {
 				pools = append(pools, u.pool)
 			}
 		}
--- a/pkg/gatekeeper/fleet_connections_test.go
+++ b/pkg/gatekeeper/fleet_connections_test.go
@@ -31,13 +31,13 @@
 					locations = append(locations, placer.Location{ID: fmt.Sprint(centre, "-", i), DataCentre: fmt.Sprint(centre)})
 				}
 			}
-			limits := placer.ConnectionLimits{Kept: int(keptConnectionShare * float64(c.connections)), Open: int(openConnectionShare * float64(c.connections))}
+			limits := placer.ConnectionLimits{MaxIdle: int(keptConnectionShare * float64(c.connections)), MaxOpen: int(openConnectionShare * float64(c.connections))}
 			kept := map[string]int{}
 			rank := 0
 			for centre, instances := range c.instances {
 				for localRank := range instances {
 					set := placer.InstanceSet{DataCentre: fmt.Sprint(centre), Instances: counts, Rank: rank, LocalRank: localRank}
-					for id := range placer.Homes(locations, set, limits) {
+					for id := range placer.Subset(locations, set, limits) {
 						kept[id]++
 					}
 					rank++
--- a/pkg/gatekeeper/fleet_observations.go
+++ b/pkg/gatekeeper/fleet_observations.go
@@ -28,18 +28,18 @@
 // publishLeafState publishes what an attempt showed of its leaf, unless most leafs look slow from this instance. It
 // publishes nothing about leafs of a shard that this instance gathers, because the other instances do not query them.
 func (f *fleet) publishLeafState(leaf *placer.Leaf, now time.Duration) {
-	observation, isNews := leaf.News(now)
+	observation, isNews := leaf.Observe(now)
 	slow := 0.0
 	if observation.IsSlow {
 		slow = 1
 	}
 	f.slowShare += slowShareGain * (slow - f.slowShare)
-	if !isNews || f.publish == nil || f.slowShare > maxSlowShare || f.assignment.plan.Gathers(f.self, leaf.Fields().Service) {
+	if !isNews || f.publish == nil || f.slowShare > maxSlowShare || f.assignment.plan.IsPrimary(f.self, leaf.Fields().Service) {
 		return
 	}
 	f.publish(spreader.Observation{
-		Leaf: leaf.Fields().ID, Slowness: observation.Slowness, FailureRate: observation.Faults, IsSlow: observation.IsSlow,
-		SlowFor: observation.SlowFor, SeenAt: observation.SeenAt, IsGone: observation.IsGone,
+		Leaf: leaf.Fields().ID, Slowness: observation.Slowness, FailureRate: observation.FaultRate, IsSlow: observation.IsSlow,
+		SlowFor: observation.SlowFor, SeenAt: observation.SeenAt, IsGone: observation.IsReplaced,
 	})
 }
 
@@ -54,9 +54,9 @@
 			f.applySilentInstance(observation, now)
 			continue
 		}
-		isChanged := u.leaf.Take(placer.Observation{
-			Slowness: observation.Slowness, Faults: observation.FailureRate, IsSlow: observation.IsSlow, SlowFor: observation.SlowFor, SeenAt: observation.SeenAt,
-			IsGone: observation.IsGone,
+		isChanged := u.leaf.Apply(placer.Observation{
+			Slowness: observation.Slowness, FaultRate: observation.FailureRate, IsSlow: observation.IsSlow, SlowFor: observation.SlowFor, SeenAt: observation.SeenAt,
+			IsReplaced: observation.IsGone,
 		})
 		if isChanged {
 			f.log.Info("gatekeeper: leaf believed by observation", "leaf", observation.Leaf, "service", u.leaf.Fields().Service, "slow", observation.IsSlow, "gone", observation.IsGone,
--- a/pkg/gatekeeper/fleet_slices.go
+++ b/pkg/gatekeeper/fleet_slices.go
@@ -72,7 +72,7 @@
 		return
 	}
 	shards := f.shardsWithLeafs()
-	if f.assignment.plan.Made() && slices.Equal(f.assignment.members, f.members) && reflect.DeepEqual(f.assignment.shards, shards) &&
+	if f.assignment.plan.IsComputed() && slices.Equal(f.assignment.members, f.members) && reflect.DeepEqual(f.assignment.shards, shards) &&
 		reflect.DeepEqual(f.assignment.addresses, f.addresses) {
 		return
 	}
@@ -101,7 +101,7 @@
 // that changes.
 func (f *fleet) chooseQueryMode() {
 	requestsPerSecond := float64(f.totalRequests) / f.budget.Window.Seconds() / float64(max(1, f.instanceCount))
-	direct := !slicer.Pays(!f.assignment.isDirect, requestsPerSecond)
+	direct := !slicer.ShouldSlice(!f.assignment.isDirect, requestsPerSecond)
 	if direct == f.assignment.isDirect {
 		return
 	}
@@ -123,7 +123,7 @@
 		var dataCentres []string
 		for _, u := range s.upstreams {
 			fields := u.leaf.Fields()
-			if !fields.Leaving && !f.outOfService[fields.DataCentre] && !slices.Contains(dataCentres, fields.DataCentre) {
+			if !fields.IsDraining && !f.outOfService[fields.DataCentre] && !slices.Contains(dataCentres, fields.DataCentre) {
 				dataCentres = append(dataCentres, fields.DataCentre)
 			}
 		}
@@ -141,10 +141,10 @@
 	if len(gatherers) == 0 || f.assignment.isDirect {
 		return false
 	}
-	isGatherer := f.assignment.plan.Gathers(f.self, s.name)
+	isGatherer := f.assignment.plan.IsPrimary(f.self, s.name)
 	limit := max(1, int(gathererConnectionShare*openConnectionShare*float64(f.connections(s.name))))
 	for _, u := range s.upstreams {
-		u.leaf.SetHome(isGatherer)
+		u.leaf.SetInSubset(isGatherer)
 		switch {
 		case isGatherer && u.leaf.Fields().DataCentre == f.dataCentre:
 			u.pool.SetLimit(limit, gathererKeptConnections, spareIdleTimeout)
@@ -171,7 +171,7 @@
 	defer g.fleet.mu.Unlock()
 	latency := g.fleet.latencyOf(in.route)
 	latest := in.route.Objective() - g.config.CallerRoundTrip - mergeMargin - time.Duration(hedgeReserveFactor*float64(latency.typical))
-	return slicer.Patience(latency.reportTime.Value(), latest)
+	return slicer.ReportTimeout(latency.reportTime.Value(), latest)
 }
 
 // recordReportTime records the time until a first report.
--- a/pkg/gatekeeper/gatekeeper.go
+++ b/pkg/gatekeeper/gatekeeper.go
@@ -65,7 +65,7 @@
 		Instance   string
 		DataCentre string
 		// Budget limits the repeated requests that all instances together send to a service.
-		Budget hedger.SharedBound
+		Budget hedger.RetryLimit
 		// CallerRoundTrip is the network time of a request and its response between caller and instance.
 		CallerRoundTrip time.Duration
 		// BodyMemoryBytes limits the request and response bodies buffered at one time; 0 selects a default.
--- a/pkg/gatekeeper/gatekeeper_test.go
+++ b/pkg/gatekeeper/gatekeeper_test.go
@@ -56,7 +56,7 @@
 func testConfig() Config {
 	startedAt := time.Now()
 	return Config{
-		Headers: testHeaders, Instance: "entry-1", DataCentre: "a", Budget: hedger.SharedBound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
+		Headers: testHeaders, Instance: "entry-1", DataCentre: "a", Budget: hedger.RetryLimit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
 		Decode: func(uint64, []byte) (*router.Table, error) { return nil, nil },
 		Dial: func(address string, timeout time.Duration) (net.Conn, error) {
 			return net.DialTimeout("tcp", address, timeout)
--- a/pkg/gatekeeper/note.go
+++ b/pkg/gatekeeper/note.go
@@ -16,7 +16,7 @@
 	snapshot := g.fleet.leafSnapshot(a)
 	g.config.Log.Info("gatekeeper: another attempt", "request", in.id, "kind", kind, "why", reason, "route", in.route.Name(),
 		"version", in.version, "service", fields.Service, "leaf", fields.ID, "data-centre", fields.DataCentre,
-		"running", snapshot.Running, "limit", snapshot.Limit, "slowness", snapshot.Slowness, "faults", snapshot.Faults)
+		"running", snapshot.Running, "limit", snapshot.Limit, "slowness", snapshot.Slowness, "faults", snapshot.FaultRate)
 }
 
 // logAttemptEnd logs an attempt without a usable response. Successful attempts appear in the log line of the request.
--- a/pkg/gatekeeper/plain.go
+++ b/pkg/gatekeeper/plain.go
@@ -145,8 +145,8 @@
 	g.fleet.finish(end.attempt, outcome, end.result.Travelled, end.result.Sent)
 	f.attempts = removeAttempt(f.attempts, end.attempt)
 	f.hasReachedLeaf = f.hasReachedLeaf || end.result.Sent
-	mayHaveRun := end.result.Sent && outcome != placer.Full && outcome != placer.Replaced
-	isFailureResponse := end.result.Answer != nil && (outcome == placer.Faulty || outcome == placer.Expired)
+	mayHaveRun := end.result.Sent && outcome != placer.Refused && outcome != placer.Replaced
+	isFailureResponse := end.result.Answer != nil && (outcome == placer.Failed || outcome == placer.LeafTimedOut)
 	if outcome == placer.Answered || isFailureResponse && !f.in.route.Idempotent() {
 		f.writeResponse(w, end)
 		return true
@@ -206,8 +206,8 @@
 		sent := a.ticket.Sent()
 		a.ticket.Abandon(true)
 		elapsed := g.config.Now() - a.startedAt
-		g.logAttemptEnd(f.in, a, placer.Silent, exchanger.Result{Sent: sent, Travelled: elapsed})
-		g.fleet.finish(a, placer.Silent, elapsed, sent)
+		g.logAttemptEnd(f.in, a, placer.Unanswered, exchanger.Result{Sent: sent, Travelled: elapsed})
+		g.fleet.finish(a, placer.Unanswered, elapsed, sent)
 		f.lastFailure.mayHaveRun = f.lastFailure.mayHaveRun || sent
 	}
 	f.lastFailure.reason = "no answer in time"
@@ -257,7 +257,7 @@
 	}
 	if result.Answer == nil {
 		if result.Sent {
-			return placer.Faulty
+			return placer.Failed
 		}
 		return placer.Unreachable
 	}
@@ -266,11 +266,11 @@
 	case status == http.StatusMisdirectedRequest:
 		return placer.Replaced
 	case g.hasNotRunHeader(result):
-		return placer.Full
+		return placer.Refused
 	case status == http.StatusGatewayTimeout:
-		return placer.Expired
+		return placer.LeafTimedOut
 	case status >= http.StatusInternalServerError:
-		return placer.Faulty
+		return placer.Failed
 	}
 	return placer.Answered
 }
--- a/pkg/gatekeeper/scatter.go
+++ b/pkg/gatekeeper/scatter.go
@@ -166,7 +166,7 @@
 	if outcome == placer.Answered {
 		proof = string(c.result.Answer.Header.Peek(q.gate.config.Headers.Proof))
 		if c.result.Status() != http.StatusOK || proof == "" {
-			outcome = placer.Faulty
+			outcome = placer.Failed
 		}
 	}
 	q.gate.logAttemptEnd(q.in, c.attempt, outcome, c.result)
@@ -183,7 +183,7 @@
 		q.outcomes = map[*placer.Leaf]placer.Outcome{}
 	}
 	q.outcomes[c.attempt.upstream.leaf] = outcome
-	mayHaveRun := c.result.Sent && outcome != placer.Full && outcome != placer.Replaced
+	mayHaveRun := c.result.Sent && outcome != placer.Refused && outcome != placer.Replaced
 	q.reached[c.shard] = q.reached[c.shard] || c.result.Sent
 	if mayHaveRun {
 		q.mayHaveRun[c.shard] = append(q.mayHaveRun[c.shard], c.attempt.upstream.leaf)
--- a/pkg/gatekeeper/scatter_slices.go
+++ b/pkg/gatekeeper/scatter_slices.go
@@ -157,7 +157,7 @@
 
 // updateOpenShards records the attempts at the open shards of a slice, and extends the time until its next report is due.
 func (q *query) updateOpenShards(s *delegatedSlice, report aggregator.Report, now time.Duration) {
-	nextReportBy := max(q.plan.SoftDeadline, now+reportInterval) + slicer.Patience(0, reportInterval)
+	nextReportBy := max(q.plan.SoftDeadline, now+reportInterval) + slicer.ReportTimeout(0, reportInterval)
 	for _, openShard := range report.Open {
 		if openShard.Shard < 0 || openShard.Shard >= len(s.shards) {
 			continue
--- a/pkg/gatekeeper/scatter_test.go
+++ b/pkg/gatekeeper/scatter_test.go
@@ -157,7 +157,7 @@
 func TestUnreachableAttemptsDoNotRaiseRetryBudget(t *testing.T) {
 	const queries = 10
 	tier := newTier(t, "s1", "s2")
-	tier.gate.fleet.budget = hedger.SharedBound{Ratio: 0.2, Window: 10 * time.Second}
+	tier.gate.fleet.budget = hedger.RetryLimit{Ratio: 0.2, Window: 10 * time.Second}
 	_ = tier.leafs[0].server.Close()
 	tier.setRoute(router.RouteFields{
 		Name: "sweep", Shards: []string{"s1", "s2"}, MaxAttempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
--- a/pkg/gatekeeper/slice_test.go
+++ b/pkg/gatekeeper/slice_test.go
@@ -82,7 +82,7 @@
 	l := linker.New(linker.NewSecret("c", nil))
 	config := testConfig()
 	config.Instance, config.Random, config.Peers = name, rand.New(rand.NewPCG(1, uint64(len(g.gates)))), aggregator.NewPeers(l, config.Now, logr.Discard())
-	config.Budget = hedger.SharedBound{Ratio: 0.2, Slack: 500, Window: 10 * time.Second}
+	config.Budget = hedger.RetryLimit{Ratio: 0.2, Slack: 500, Window: 10 * time.Second}
 	gate := New(config)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pkg/hedger/allowance.go
+++ b/pkg/hedger/allowance.go
@@ -1,96 +1,102 @@
-// All instances together may send an upstream service a share of its requests
-// again within any window, and a fixed number on top. Each instance counts its
-// own requests in the last window and keeps to its part of the bound there:
+// All instances together may send hedges and retries to a service up to a fraction
+// of its requests in any window plus a fixed number, the slack. Each instance
+// counts its own requests in the last window and has a share of the slack. With a
+// ratio of 0.2 and a slack of 214 in 10 s, one of 87 instances with an equal share
+// and 5 requests in the window has a limit of
 //
-//	a fifth and 214 in 10 s, an even part of 87, 5 requests in the window:  2.3 + 0.95, so three or four again
+//	0.85 * (214/87 + 0.2*5) = 2.9 hedges and retries
 //
-// A part below one is rounded up at some instances and down at others.
+// The fractional limit is rounded up at some instances and down at others.
 
 package hedger
 
 import "time"
 
 const (
-	// allowanceMargin leaves room for requests that arrive in another window than they were sent in, and for instances that
-	// spend while they have many requests and keep that count when they have fewer.
-	allowanceMargin = 0.85
-	// firstShare is the part of the fixed number that a new instance has in its first window: after a restart of all
-	// instances the window holds what their predecessors spent as well.
-	firstShare = 0.5
-	// steps is into how many parts a window is divided.
-	steps = 10
+	// safetyFactor leaves room for two effects: hedges and retries may arrive in a later window than they were sent in, and an
+	// instance may use up a large share before its load, and with it the share, goes down.
+	safetyFactor = 0.85
+	// initialSlackFactor reduces the slack of a new instance in its first window: after a restart of all instances, hedges and
+	// retries of the previous processes count in the same window.
+	initialSlackFactor = 0.5
+	// bucketsPerWindow is the number of buckets into which a window is divided.
+	bucketsPerWindow = 10
 )
 
 type (
-	// SharedBound is what a service may get of repeated requests from all instances in any window.
-	SharedBound struct {
-		// Ratio is the share of its requests.
+	// RetryLimit limits the hedges and retries that a service gets from all instances together in any window.
+	RetryLimit struct {
+		// Ratio is the permitted fraction of the requests to the service.
 		Ratio float64
-		// Slack is the fixed number on top.
+		// Slack is the fixed number of hedges and retries permitted in addition.
 		Slack  float64
 		Window time.Duration
 	}
 
-	// Allowance bounds the repeated requests of one service at one instance.
-	Allowance struct {
-		bound SharedBound
-		// part is this instance's part of the fixed number.
-		part float64
-		// rounding is uniform in [0,1): the sum over all instances keeps to the bound, while each repeats whole requests.
-		rounding float64
-		began    time.Duration
-		requests window
-		repeated window
+	// WindowBudget limits the hedges and retries of one instance to one service within a sliding window.
+	WindowBudget struct {
+		retryLimit RetryLimit
+		// share is the fraction of the slack that this instance has, 0 to 1.
+		share float64
+		// rounding is a random number, uniform in [0,1), that is added to the limit before it is truncated: each instance sends
+		// whole requests, and the sum over all instances still keeps the shared limit.
+		rounding  float64
+		startedAt time.Duration
+		requests  window
+		extra     window
 	}
 
-	// window counts in the present step and the steps before it.
+	// window is a sliding-window counter with one count each for the current bucket and the preceding bucketsPerWindow buckets.
 	window struct {
-		counts [steps + 1]int
-		step   int64
+		counts [bucketsPerWindow + 1]int
+		bucket int64
 	}
 )
 
-// NewAllowance returns the allowance of a new instance with its part of the fixed number; rounding is uniform in [0,1).
-func NewAllowance(bound SharedBound, part, rounding float64, now time.Duration) *Allowance {
-	return &Allowance{bound: bound, part: part, rounding: rounding, began: now}
+// NewWindowBudget returns the budget of an instance started at now with the given share of the slack; rounding is a random
+// number, uniform in [0,1).
+func NewWindowBudget(retryLimit RetryLimit, share, rounding float64, now time.Duration) *WindowBudget {
+	return &WindowBudget{retryLimit: retryLimit, share: share, rounding: rounding, startedAt: now}
 }
 
-// Share sets the bound, and the part of its fixed number that this instance has.
-func (a *Allowance) Share(bound SharedBound, part float64) { a.bound, a.part = bound, part }
+// SetShare sets the shared limit and the fraction of its slack that this instance has.
+func (b *WindowBudget) SetShare(retryLimit RetryLimit, share float64) {
+	b.retryLimit, b.share = retryLimit, share
+}
 
-// OnRequest counts a first request.
-func (a *Allowance) OnRequest(now time.Duration) { a.requests.add(a.step(now), 1) }
+// OnRequest counts a first attempt.
+func (b *WindowBudget) OnRequest(now time.Duration) { b.requests.add(b.bucket(now), 1) }
 
-// Take counts a repeated request where one is allowed.
-func (a *Allowance) Take(now time.Duration) bool {
-	step := a.step(now)
-	if a.repeated.sum(step)+1 > int(a.limit(step, now)+a.rounding) {
+// Take counts a hedge or retry and returns true if the limit permits it; otherwise it counts nothing and returns false.
+func (b *WindowBudget) Take(now time.Duration) bool {
+	bucket := b.bucket(now)
+	if b.extra.sum(bucket)+1 > int(b.limit(bucket, now)+b.rounding) {
 		return false
 	}
-	a.repeated.add(step, 1)
+	b.extra.add(bucket, 1)
 	return true
 }
 
-// Return takes back the count of a repeated request that was not sent.
-func (a *Allowance) Return(now time.Duration) { a.repeated.add(a.step(now), -1) }
+// Return removes a hedge or retry that was not sent from the count.
+func (b *WindowBudget) Return(now time.Duration) { b.extra.add(b.bucket(now), -1) }
 
-func (a *Allowance) limit(step int64, now time.Duration) float64 {
-	fixed := a.bound.Slack * a.part
-	if now-a.began < a.bound.Window {
-		fixed *= firstShare
+func (b *WindowBudget) limit(bucket int64, now time.Duration) float64 {
+	slack := b.retryLimit.Slack * b.share
+	if now-b.startedAt < b.retryLimit.Window {
+		slack *= initialSlackFactor
 	}
-	return allowanceMargin * (fixed + a.bound.Ratio*float64(a.requests.sum(step)))
+	return safetyFactor * (slack + b.retryLimit.Ratio*float64(b.requests.sum(bucket)))
 }
 
-func (a *Allowance) step(now time.Duration) int64 { return stepOf(now, a.bound.Window) }
+func (b *WindowBudget) bucket(now time.Duration) int64 { return bucketOf(now, b.retryLimit.Window) }
 
-func (w *window) add(step int64, count int) {
-	w.forward(step)
-	w.counts[step%int64(len(w.counts))] += count
+func (w *window) add(bucket int64, count int) {
+	w.advance(bucket)
+	w.counts[bucket%int64(len(w.counts))] += count
 }
 
-func (w *window) sum(step int64) int {
-	w.forward(step)
+func (w *window) sum(bucket int64) int {
+	w.advance(bucket)
 	total := 0
 	for _, count := range w.counts {
 		total += count
@@ -98,13 +104,13 @@
 	return total
 }
 
-// forward empties the steps that have left the window.
-func (w *window) forward(step int64) {
-	if step-w.step > int64(len(w.counts)) {
-		w.counts = [steps + 1]int{}
-		w.step = step
+// advance clears the buckets that have left the window.
+func (w *window) advance(bucket int64) {
+	if bucket-w.bucket > int64(len(w.counts)) {
+		w.counts = [bucketsPerWindow + 1]int{}
+		w.bucket = bucket
 	}
-	for ; w.step < step; w.step++ {
-		w.counts[(w.step+1)%int64(len(w.counts))] = 0
+	for ; w.bucket < bucket; w.bucket++ {
+		w.counts[(w.bucket+1)%int64(len(w.counts))] = 0
 	}
 }
--- a/pkg/hedger/budget.go
+++ b/pkg/hedger/budget.go
@@ -1,57 +1,58 @@
-// One budget covers hedges and retries. Each first request earns a share of
-// a token, each extra request costs one, and the store is small, so that a
-// quiet hour does not pay for a storm. Refusals for overload close it.
+// A budget has one token bucket for hedges and one for retries. Each first attempt
+// adds a fraction of a token to both, and each hedge or retry takes a whole one.
+// The buckets are small, so that tokens saved in a quiet period do not permit a
+// burst later. An overload refusal pauses hedges.
 
 package hedger
 
 import "time"
 
 const (
-	budgetStore     = 20.0
-	overloadPause   = 200 * time.Millisecond
-	percentDivisor  = 100.0
-	retryStore      = 50.0
-	retryPerRequest = 0.1
+	maxHedgeTokens        = 20.0
+	overloadPause         = 200 * time.Millisecond
+	percentDivisor        = 100.0
+	maxRetryTokens        = 50.0
+	retryTokensPerRequest = 0.1
 )
 
-// Budget bounds the extra requests of one service at one instance.
+// Budget limits the hedges and retries of one instance to one service.
 type Budget struct {
-	hedges      float64
-	retries     float64
+	hedgeTokens float64
+	retryTokens float64
 	pausedUntil time.Duration
 }
 
-// NewBudget returns a budget with half a store of tokens.
+// NewBudget returns a budget whose token buckets are half full.
 func NewBudget() *Budget {
-	return &Budget{hedges: budgetStore / 2, retries: retryStore / 2}
+	return &Budget{hedgeTokens: maxHedgeTokens / 2, retryTokens: maxRetryTokens / 2}
 }
 
-// OnRequest earns the share of a token that one first request allows.
+// OnRequest adds the tokens earned by one first attempt; hedgePercent is the permitted percentage of hedges.
 func (b *Budget) OnRequest(hedgePercent float64) {
-	b.hedges = min(budgetStore, b.hedges+hedgePercent/percentDivisor)
-	b.retries = min(retryStore, b.retries+retryPerRequest)
+	b.hedgeTokens = min(maxHedgeTokens, b.hedgeTokens+hedgePercent/percentDivisor)
+	b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokensPerRequest)
 }
 
-// OnOverload pauses hedges after a refusal for overload.
+// OnOverload pauses hedges for overloadPause after a leaf refused a request because of overload.
 func (b *Budget) OnOverload(now time.Duration) { b.pausedUntil = now + overloadPause }
 
-// TakeHedge spends one token on a request that a leaf will receive twice.
+// TakeHedge takes a token for a hedge, which sends a request to a second leaf, and reports whether there was one.
 func (b *Budget) TakeHedge(now time.Duration) bool {
-	if now < b.pausedUntil || b.hedges < 1 {
+	if now < b.pausedUntil || b.hedgeTokens < 1 {
 		return false
 	}
-	b.hedges--
+	b.hedgeTokens--
 	return true
 }
 
-// ReturnHedge gives back the token of a hedge that no leaf received.
-func (b *Budget) ReturnHedge() { b.hedges = min(budgetStore, b.hedges+1) }
+// ReturnHedge returns the token of a hedge that no leaf received.
+func (b *Budget) ReturnHedge() { b.hedgeTokens = min(maxHedgeTokens, b.hedgeTokens+1) }
 
-// TakeRetry spends one token on a request that replaces one which no leaf started.
+// TakeRetry takes a token for a retry of a request that no leaf started, and reports whether there was one.
 func (b *Budget) TakeRetry() bool {
-	if b.retries < 1 {
+	if b.retryTokens < 1 {
 		return false
 	}
-	b.retries--
+	b.retryTokens--
 	return true
 }
--- a/pkg/hedger/doc.go
+++ b/pkg/hedger/doc.go
@@ -1,2 +1,3 @@
-// Package hedger decides when a second request for the same shard pays and whether the budget allows it.
+// Package hedger estimates how long to wait for an answer before a hedge request is sent, and limits hedges and retries by
+// budgets per service.
 package hedger
--- a/pkg/hedger/hedger_test.go
+++ b/pkg/hedger/hedger_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestBudgetKeepsToItsShare(t *testing.T) {
+func TestBudgetLimitsHedges(t *testing.T) {
 	budget := NewBudget()
 	const requests = 10_000
 	hedges := 0
@@ -16,68 +16,69 @@
 			hedges++
 		}
 	}
-	if hedges > requests*4/100+budgetStore || hedges < requests*3/100 {
-		t.Fatalf("%d hedges for %d requests at 4%%", hedges, requests)
+	if hedges > requests*4/100+maxHedgeTokens || hedges < requests*3/100 {
+		t.Fatalf("got %d hedges for %d requests, want 3%% to 4%% and at most one full bucket on top", hedges, requests)
 	}
 }
 
-func TestBudgetClosesUnderOverload(t *testing.T) {
+func TestOverloadPausesHedges(t *testing.T) {
 	budget := NewBudget()
 	budget.OnOverload(time.Second)
 	if budget.TakeHedge(time.Second + overloadPause - 1) {
-		t.Fatal("a hedge during an overload")
+		t.Fatal("hedge is permitted during the pause after an overload refusal, want none")
 	}
 	if !budget.TakeHedge(time.Second + overloadPause) {
-		t.Fatal("no hedge after the overload")
+		t.Fatal("hedge is not permitted after the pause, want it permitted")
 	}
 }
 
-// Leafs of many shards are silent for seconds: every instance asks again whenever it may, and restarts in between.
-func TestAllowancesKeepToTheSharedBound(t *testing.T) {
-	bound := SharedBound{Ratio: 0.2, Slack: 214, Window: 10 * time.Second}
+// Leafs of many shards do not answer for seconds. Every instance sends hedges and retries whenever its budget permits, and
+// together they must keep the shared limit in every window without leaving more than half of it unused.
+func TestWindowBudgetsKeepSharedLimit(t *testing.T) {
+	retryLimit := RetryLimit{Ratio: 0.2, Slack: 214, Window: 10 * time.Second}
 	const perSecond, step = 45, 10 * time.Millisecond
 	for _, instances := range []int{1, 7, 87, 300} {
 		random := rand.New(rand.NewPCG(1, uint64(instances)))
-		allowances := make([]*Allowance, instances)
-		for i := range allowances {
-			allowances[i] = NewAllowance(bound, 1/float64(instances), random.Float64(), 0)
+		budgets := make([]*WindowBudget, instances)
+		for i := range budgets {
+			budgets[i] = NewWindowBudget(retryLimit, 1/float64(instances), random.Float64(), 0)
 		}
 		var taken []time.Duration
 		arrivals := 0.0
 		for now := time.Duration(0); now < 40*time.Second; now += step {
 			for arrivals += perSecond * step.Seconds(); arrivals >= 1; arrivals-- {
-				allowances[random.IntN(instances)].OnRequest(now)
+				budgets[random.IntN(instances)].OnRequest(now)
 			}
-			for _, allowance := range allowances {
-				for allowance.Take(now) {
+			for _, budget := range budgets {
+				for budget.Take(now) {
 					taken = append(taken, now)
 				}
 			}
 		}
-		limit := bound.Ratio*perSecond*bound.Window.Seconds() + bound.Slack
-		most := mostInWindow(taken, bound.Window)
+		limit := retryLimit.Ratio*perSecond*retryLimit.Window.Seconds() + retryLimit.Slack
+		most := maxInWindow(taken, retryLimit.Window)
 		if float64(most) > limit {
-			t.Errorf("%d instances: %d repeated requests in %v, more than %.0f", instances, most, bound.Window, limit)
+			t.Errorf("%d instances: got %d hedges and retries in %v, want at most %.0f", instances, most, retryLimit.Window, limit)
 		}
 		if float64(most) < 0.5*limit {
-			t.Errorf("%d instances: only %d repeated requests in %v of %.0f", instances, most, bound.Window, limit)
+			t.Errorf("%d instances: got %d hedges and retries in %v, want at least half of %.0f", instances, most, retryLimit.Window, limit)
 		}
 	}
 }
 
-// Leafs of many shards are silent for seconds while callers stay with a third of the instances, and move on together in the
-// middle. The count of all requests comes from the control instances and is half a second old.
-func TestAllowancesFollowTheLoad(t *testing.T) {
+// Leafs of many shards do not answer for seconds while all clients use one third of the instances and move to another third
+// together halfway. The total number of requests comes from the control instances and is half a second old.
+func TestWindowBudgetsFollowLoad(t *testing.T) {
 	const (
 		instances, busy, perSecond = 87, 29, 45
 		step, lag                  = 10 * time.Millisecond, 500 * time.Millisecond
 		moveAt, end                = 25 * time.Second, 50 * time.Second
 	)
-	bound := SharedBound{Ratio: 0.2, Slack: 214, Window: 10 * time.Second}
+	retryLimit := RetryLimit{Ratio: 0.2, Slack: 214, Window: 10 * time.Second}
 	random := rand.New(rand.NewPCG(1, 1))
-	allowances, loads := make([]*Allowance, instances), make([]*Load, instances)
-	for i := range allowances {
-		allowances[i], loads[i] = NewAllowance(bound, 1.0/instances, random.Float64(), 0), NewLoad(bound.Window)
+	budgets, counters := make([]*WindowBudget, instances), make([]*RequestCounter, instances)
+	for i := range budgets {
+		budgets[i], counters[i] = NewWindowBudget(retryLimit, 1.0/instances, random.Float64(), 0), NewRequestCounter(retryLimit.Window)
 	}
 	var taken []time.Duration
 	first, all, arrivals := 0, 0, 0.0
@@ -87,113 +88,114 @@
 		}
 		for arrivals += perSecond * step.Seconds(); arrivals >= 1; arrivals-- {
 			i := first + random.IntN(busy)
-			allowances[i].OnRequest(now)
-			loads[i].OnRequest(now)
+			budgets[i].OnRequest(now)
+			counters[i].OnRequest(now)
 		}
-		for i, allowance := range allowances {
-			allowance.Share(bound, Part(loads[i].Requests(now), all, instances))
+		for i, budget := range budgets {
+			budget.SetShare(retryLimit, InstanceShare(counters[i].Requests(now), all, instances))
 			if i >= first && i < first+busy {
-				for allowance.Take(now) {
+				for budget.Take(now) {
 					taken = append(taken, now)
 				}
 			}
 		}
 		if now%lag == 0 {
 			all = 0
-			for _, load := range loads {
-				all += load.Requests(now)
+			for _, counter := range counters {
+				all += counter.Requests(now)
 			}
 		}
 	}
-	limit := bound.Ratio*perSecond*bound.Window.Seconds() + bound.Slack
-	if most := mostInWindow(taken, bound.Window); float64(most) > limit {
-		t.Errorf("%d repeated requests in %v, more than %.0f", most, bound.Window, limit)
+	limit := retryLimit.Ratio*perSecond*retryLimit.Window.Seconds() + retryLimit.Slack
+	if most := maxInWindow(taken, retryLimit.Window); float64(most) > limit {
+		t.Errorf("got %d hedges and retries in %v, want at most %.0f", most, retryLimit.Window, limit)
 	}
-	if perWindow := float64(len(taken)) * bound.Window.Seconds() / end.Seconds(); perWindow < 0.5*limit {
-		t.Errorf("only %.0f repeated requests in %v of %.0f", perWindow, bound.Window, limit)
+	if perWindow := float64(len(taken)) * retryLimit.Window.Seconds() / end.Seconds(); perWindow < 0.5*limit {
+		t.Errorf("got %.0f hedges and retries in %v on average, want at least half of %.0f", perWindow, retryLimit.Window, limit)
 	}
 }
 
-func TestPart(t *testing.T) {
+func TestInstanceShare(t *testing.T) {
 	cases := []struct {
 		name                string
 		own, all, instances int
-		least, most         float64
+		wantMin, wantMax    float64
 	}{
-		{"nothing known of the others", 5, 0, 87, 1.0 / 87, 1.0 / 87},
-		{"no requests here", 0, 600, 87, 0.2 / 87, 0.4 / 87},
-		{"as many as the others", 7, 7 * 87, 87, 0.79 / 87, 0.81 / 87},
-		{"more than the others", 40, 600, 87, 3.0 / 87, 4.0 / 87},
-		{"a count of all that lags behind", 10, 1, 87, 0, 6.0 / 87},
-		{"the only instance", 10, 10, 1, 0.8, 0.8},
-		{"no instance is known", 0, 0, 0, 1, 1},
+		{"total unknown", 5, 0, 87, 1.0 / 87, 1.0 / 87},
+		{"no own requests", 0, 600, 87, 0.2 / 87, 0.4 / 87},
+		{"as many requests as the other instances", 7, 7 * 87, 87, 0.79 / 87, 0.81 / 87},
+		{"more requests than the other instances", 40, 600, 87, 3.0 / 87, 4.0 / 87},
+		{"outdated total", 10, 1, 87, 0, 6.0 / 87},
+		{"only instance", 10, 10, 1, 0.8, 0.8},
+		{"number of instances unknown", 0, 0, 0, 1, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := Part(c.own, c.all, c.instances); got < c.least-1e-9 || got > c.most+1e-9 {
-				t.Errorf("got %.4f, want %.4f to %.4f", got, c.least, c.most)
+			if got := InstanceShare(c.own, c.all, c.instances); got < c.wantMin-1e-9 || got > c.wantMax+1e-9 {
+				t.Errorf("got %.4f, want %.4f to %.4f", got, c.wantMin, c.wantMax)
 			}
 		})
 	}
 }
 
-func mostInWindow(taken []time.Duration, span time.Duration) int {
-	most := 0
+func maxInWindow(taken []time.Duration, windowLength time.Duration) int {
+	highest := 0
 	for first, at := range taken {
 		last := first
-		for last < len(taken) && taken[last] <= at+span {
+		for last < len(taken) && taken[last] <= at+windowLength {
 			last++
 		}
-		most = max(most, last-first)
+		highest = max(highest, last-first)
 	}
-	return most
+	return highest
 }
 
-// Answers of many leafs are lost: an instance that sends a service one request every two seconds repeats several in a row.
-func TestAllowanceOfRareRequests(t *testing.T) {
-	bound := SharedBound{Ratio: 0.2, Slack: 214, Window: 10 * time.Second}
-	allowance := NewAllowance(bound, 1.0/87, 0.5, 0)
+// Many leafs lose answers. An instance that sends a service one request every two seconds must be able to retry several in a
+// row.
+func TestWindowBudgetAllowsRetriesOfRareRequests(t *testing.T) {
+	retryLimit := RetryLimit{Ratio: 0.2, Slack: 214, Window: 10 * time.Second}
+	budget := NewWindowBudget(retryLimit, 1.0/87, 0.5, 0)
 	now := time.Minute
 	taken := 0
 	for range 5 {
-		allowance.OnRequest(now)
-		if allowance.Take(now) {
+		budget.OnRequest(now)
+		if budget.Take(now) {
 			taken++
 		}
 		now += 2 * time.Second
 	}
 	if taken < 3 {
-		t.Errorf("only %d of 5 requests were repeated", taken)
+		t.Errorf("got %d retries of 5 requests, want at least 3", taken)
 	}
 }
 
-// A long fault needs the fixed number again in each window, not once.
-func TestAllowanceComesBackOverTheWindow(t *testing.T) {
-	bound := SharedBound{Ratio: 0, Slack: 214, Window: 10 * time.Second}
-	allowance := NewAllowance(bound, 1, 0.5, 0)
+// During a long fault the slack must be available again in each window, not only once.
+func TestWindowBudgetRenewsSlackPerWindow(t *testing.T) {
+	retryLimit := RetryLimit{Ratio: 0, Slack: 214, Window: 10 * time.Second}
+	budget := NewWindowBudget(retryLimit, 1, 0.5, 0)
 	taken := 0
 	for now := time.Duration(0); now <= 100*time.Second; now += 10 * time.Millisecond {
-		for allowance.Take(now) {
+		for budget.Take(now) {
 			taken++
 		}
 	}
 	if taken < 900 {
-		t.Errorf("only %d repeated requests in ten windows", taken)
+		t.Errorf("got %d hedges and retries in ten windows, want at least 900", taken)
 	}
 }
 
-func TestRetriesRunOut(t *testing.T) {
+func TestBudgetLimitsRetries(t *testing.T) {
 	budget := NewBudget()
 	taken := 0
 	for budget.TakeRetry() {
 		taken++
 	}
-	if taken > retryStore {
-		t.Fatalf("%d retries from a store of %g", taken, retryStore)
+	if taken > maxRetryTokens {
+		t.Fatalf("got %d retries from a bucket of %g tokens, want no more than that", taken, maxRetryTokens)
 	}
 }
 
-func TestQuantileFollows(t *testing.T) {
+func TestQuantileFollowsLatency(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	quantile := NewQuantile(0.95)
 	for _, scale := range []float64{10, 40, 5} {
@@ -202,7 +204,7 @@
 		}
 		want := 0.95 * scale
 		if got := quantile.Value().Seconds() * 1000; got < 0.85*want || got > 1.15*want {
-			t.Errorf("quantile %.2f ms at scale %g, want about %.2f ms", got, scale, want)
+			t.Errorf("got quantile %.2f ms at scale %g, want %.2f ms within 15%%", got, scale, want)
 		}
 	}
 }
--- a/pkg/hedger/load.go
+++ b/pkg/hedger/load.go
@@ -1,48 +1,58 @@
-// Callers stay with an instance, so that few instances have most of the
-// requests. The fixed number of the shared bound follows the load:
+// Clients keep using the same instance, so few instances receive most of the
+// requests. The share of the slack that an instance has therefore depends on its
+// load. With 87 instances and 600 requests in the window, 40 of them at this
+// instance, its share is
 //
-//	87 instances, 600 requests in the window, 40 of them here: 0.3/87 + 0.5*40/600 = a twenty-seventh of it
+//	0.3/87 + 0.5*40/600 = 1/27
 
 package hedger
 
 import "time"
 
 const (
-	// evenShare is the part of the fixed number that is divided evenly: an instance that gets its first requests has some of it
-	// before the others hear of them.
-	evenShare = 0.3
-	// loadShare is the part that follows the requests; the rest is left for callers that move together to other instances,
-	// where both count them for a window.
-	loadShare = 0.5
-	// mostEven bounds the part of one instance, in even parts: a count of all requests that lags behind must not give
-	// everything to one.
-	mostEven = 6.0
+	// evenPortion is the portion of the slack that is divided equally: an instance that receives its first requests has some
+	// slack before the others know about them.
+	evenPortion = 0.3
+	// loadPortion is the portion divided in proportion to the requests. The remainder is unused, as a reserve for clients that
+	// move to other instances together: their requests then count at both for a window.
+	loadPortion = 0.5
+	// maxEvenShares limits the share of one instance, in multiples of an equal share: an outdated total number of requests must
+	// not give all of the slack to one instance.
+	maxEvenShares = 6.0
 )
 
-// Load counts the requests of one instance in the last window.
-type Load struct {
-	span     time.Duration
-	requests window
+// RequestCounter counts the requests of one instance within a sliding window.
+type RequestCounter struct {
+	windowLength time.Duration
+	requests     window
 }
 
-// NewLoad returns a load without requests.
-func NewLoad(span time.Duration) *Load { return &Load{span: span} }
+// NewRequestCounter returns a counter without requests for a window of the given length.
+func NewRequestCounter(windowLength time.Duration) *RequestCounter {
+	return &RequestCounter{windowLength: windowLength}
+}
 
 // OnRequest counts a request.
-func (l *Load) OnRequest(now time.Duration) { l.requests.add(stepOf(now, l.span), 1) }
+func (c *RequestCounter) OnRequest(now time.Duration) {
+	c.requests.add(bucketOf(now, c.windowLength), 1)
+}
 
-// Requests returns how many requests came within the last window.
-func (l *Load) Requests(now time.Duration) int { return l.requests.sum(stepOf(now, l.span)) }
+// Requests returns the number of requests within the last window.
+func (c *RequestCounter) Requests(now time.Duration) int {
+	return c.requests.sum(bucketOf(now, c.windowLength))
+}
 
-// Part returns an instance's part of what all instances share, by its own requests and those of all in the last window;
-// an even part where those of all are not known.
-func Part(own, all, instances int) float64 {
+// InstanceShare returns the fraction of the slack that an instance has, 0 to 1, from its own number of requests and that of
+// all instances in the last window; the fraction is equal for all instances if the total is unknown.
+func InstanceShare(own, all, instances int) float64 {
 	even := 1 / float64(max(1, instances))
 	if all <= 0 {
 		return even
 	}
-	share := float64(own) / float64(max(own, all))
-	return min(mostEven*even, evenShare*even+loadShare*share)
+	load := float64(own) / float64(max(own, all))
+	return min(maxEvenShares*even, evenPortion*even+loadPortion*load)
 }
 
-func stepOf(now, span time.Duration) int64 { return int64(now / max(1, span/steps)) }
+func bucketOf(now, windowLength time.Duration) int64 {
+	return int64(now / max(1, windowLength/bucketsPerWindow))
+}
--- a/pkg/hedger/quantile.go
+++ b/pkg/hedger/quantile.go
@@ -1,5 +1,5 @@
-// The delay before a hedge is a quantile of the latency seen for the service.
-// It is tracked by stochastic approximation, which needs one number per
+// The delay before a hedge is a quantile of the latency observed for the service.
+// It is estimated by stochastic approximation, which needs one number per
 // quantile and no window of samples.
 
 package hedger
@@ -7,43 +7,43 @@
 import "time"
 
 const (
-	firstDelay   = 20 * time.Millisecond
-	lowestDelay  = time.Millisecond
-	highestDelay = 2 * time.Second
-	stepShare    = 0.02
+	initialDelay = 20 * time.Millisecond
+	minDelay     = time.Millisecond
+	maxDelay     = 2 * time.Second
+	stepFactor   = 0.02
 )
 
-// Quantile follows one quantile of a stream of latencies.
+// Quantile estimates a quantile of a stream of latencies.
 type Quantile struct {
-	target float64
-	value  time.Duration
-	seen   bool
+	target    float64
+	value     time.Duration
+	hasSample bool
 }
 
-// NewQuantile returns a tracker of the given quantile, 0 to 1.
+// NewQuantile returns an estimator of the given quantile, 0 to 1, that starts from twice the first latency it is given.
 func NewQuantile(target float64) *Quantile {
-	return &Quantile{target: target, value: firstDelay}
+	return &Quantile{target: target, value: initialDelay}
 }
 
-// NewQuantileAt returns a tracker that begins at the given value and leaves it step by step.
+// NewQuantileAt returns an estimator of the given quantile, 0 to 1, that starts from the given value.
 func NewQuantileAt(target float64, value time.Duration) *Quantile {
-	return &Quantile{target: target, value: value, seen: true}
+	return &Quantile{target: target, value: value, hasSample: true}
 }
 
-// Add takes one latency.
+// Add updates the estimate with one latency.
 func (q *Quantile) Add(latency time.Duration) {
-	if !q.seen {
-		q.seen = true
+	if !q.hasSample {
+		q.hasSample = true
 		q.value = 2 * latency
 	}
-	step := stepShare * float64(q.value)
+	step := stepFactor * float64(q.value)
 	if latency > q.value {
 		q.value += time.Duration(step * q.target)
 	} else {
 		q.value -= time.Duration(step * (1 - q.target))
 	}
-	q.value = max(lowestDelay, min(q.value, highestDelay))
+	q.value = max(minDelay, min(q.value, maxDelay))
 }
 
-// Value returns the present estimate.
+// Value returns the current estimate; before the first latency it is the initial value.
 func (q *Quantile) Value() time.Duration { return q.value }
--- a/pkg/placer/choice.go
+++ b/pkg/placer/choice.go
@@ -1,6 +1,7 @@
-// Choose compares the leafs of one service by the time at which each would
-// probably answer. A leaf that is stalled, away, cold or leaving is taken only
-// where every other one is worse.
+// Each leaf of a service gets a cost, which is its expected time to answer, and
+// the leaf with the lowest cost gets the request. Penalties rank stalled,
+// warming-up, ejected and draining leafs behind all healthy ones, so that they
+// are a last resort.
 
 package placer
 
@@ -10,116 +11,119 @@
 )
 
 const (
-	// faultWeight turns a share of faults into lost time: a failed request costs its own time, that of another one, and one of
-	// few attempts; it outweighs distance and a missing connection for some seconds.
+	// faultWeight converts a failure rate into lost time, in typical latencies: a failed request costs its own time, the
+	// time of another request and one of the few attempts. For some seconds after a failure the result exceeds the cost of
+	// a remote data centre plus that of a new connection.
 	faultWeight = 8.0
-	// onceFaultWeight is that of a request that must not run twice: its failure is the caller's.
-	onceFaultWeight = 40.0
-	// distantWeight prefers a leaf of the own data centre that is expected to answer within twice the usual time: bytes between
-	// data centres are paid for, and a leaf that pauses is hedged.
-	distantWeight = 1.0
-	// foreignCost is what a request to a leaf without a kept connection costs: it opens one in about 10 ms, of 28 usual.
-	foreignCost = 0.4
-	// stalledCost, awayCost and coldCost, in typical times, put such leafs behind all sound ones, in this order.
-	stalledCost = 40.0
-	coldCost    = 100.0
-	awayCost    = 400.0
-	leavingCost = 2000.0
+	// nonIdempotentFaultWeight is higher because a non-idempotent request is not retried, and its failure reaches the caller.
+	nonIdempotentFaultWeight = 40.0
+	// remoteCost prefers a leaf of the local data centre while it is expected to answer within twice the typical latency:
+	// traffic between data centres is billed, and a request to a pausing leaf is hedged.
+	remoteCost = 1.0
+	// newConnectionCost applies to leafs without a persistent connection: opening one takes about 10 ms, compared to a
+	// typical latency of 28 ms.
+	newConnectionCost = 0.4
+	// The costs below are in typical latencies. They rank the leafs that are not healthy behind all healthy ones, in the
+	// order stalled, warming up, ejected, draining.
+	stalledCost  = 40.0
+	warmUpCost   = 100.0
+	ejectedCost  = 400.0
+	drainingCost = 2000.0
 )
 
 type (
-	// Wish is what a request asks of the choice.
-	Wish struct {
+	// Criteria holds the requirements of one request on the leaf that is chosen.
+	Criteria struct {
 		Now        time.Duration
 		DataCentre string
-		// Out tells whether a data centre takes no new work.
-		Out func(dataCentre string) bool
-		// Tried holds the leafs that had the request already.
+		// IsOutOfService reports whether a data centre is out of service and receives no new requests.
+		IsOutOfService func(dataCentre string) bool
+		// Tried holds the leafs that the request was already sent to; they are excluded.
 		Tried []*Leaf
-		// Sound leaves out leafs that are stalled, away, cold or leaving.
-		Sound bool
-		// Once tells that the request cannot be sent again after a failure.
-		Once bool
-		// Beyond allows leafs that have as many requests as they answer in time.
-		Beyond bool
-		// Tie is uniform in [0,1) and decides between equals.
-		Tie float64
+		// RequiresHealthy excludes leafs that are stalled, ejected, warming up or draining.
+		RequiresHealthy bool
+		// IsNonIdempotent is set if the request must not be sent again after a failure.
+		IsNonIdempotent bool
+		// IgnoresLimit also allows leafs that have reached their concurrency limit.
+		IgnoresLimit bool
+		// TieBreaker is a random number, uniform in [0,1), that selects among leafs of equal cost.
+		TieBreaker float64
 	}
 )
 
-// Choose returns the leaf to ask, or nil where there is none.
-func Choose(leafs []*Leaf, wish Wish) *Leaf {
+// Choose returns the eligible leaf with the lowest cost, or nil if none is eligible.
+func Choose(leafs []*Leaf, criteria Criteria) *Leaf {
 	var best *Leaf
-	lowest := math.Inf(1)
-	offset := int(wish.Tie * float64(len(leafs)))
+	lowestCost := math.Inf(1)
+	offset := int(criteria.TieBreaker * float64(len(leafs)))
 	for i := range leafs {
 		leaf := leafs[(i+offset)%len(leafs)]
-		if !leaf.allowed(wish) {
+		if !leaf.isEligible(criteria) {
 			continue
 		}
-		if cost := leaf.cost(wish); cost < lowest {
-			best, lowest = leaf, cost
+		if cost := leaf.cost(criteria); cost < lowestCost {
+			best, lowestCost = leaf, cost
 		}
 	}
 	return best
 }
 
-func (l *Leaf) allowed(wish Wish) bool {
-	if l.gone || wish.Out != nil && wish.Out(l.fields.DataCentre) {
+func (l *Leaf) isEligible(criteria Criteria) bool {
+	if l.isReplaced || criteria.IsOutOfService != nil && criteria.IsOutOfService(l.fields.DataCentre) {
 		return false
 	}
-	if l.fields.Leaving && wish.Now-l.leavingSince > leavingGrace {
+	if l.fields.IsDraining && criteria.Now-l.drainingSince > drainingGrace {
 		return false
 	}
-	if l.AtLimit(wish.Now) && !wish.Beyond {
+	if l.IsAtLimit(criteria.Now) && !criteria.IgnoresLimit {
 		return false
 	}
-	for _, tried := range wish.Tried {
+	for _, tried := range criteria.Tried {
 		if tried == l {
 			return false
 		}
 	}
-	return !wish.Sound || l.sound(wish.Now)
+	return !criteria.RequiresHealthy || l.isHealthy(criteria.Now)
 }
 
-func (l *Leaf) sound(now time.Duration) bool {
-	return !l.fields.Leaving && !l.Away(now) && !l.Cold(now) && !l.Stalled(now)
+func (l *Leaf) isHealthy(now time.Duration) bool {
+	return !l.fields.IsDraining && !l.IsEjected(now) && !l.IsWarmingUp(now) && !l.IsStalled(now)
 }
 
-// cost is the expected time to an answer, in typical times of the request.
-func (l *Leaf) cost(wish Wish) float64 {
-	now := wish.Now
+// cost returns the expected time to answer, including penalties, in typical latencies of the request.
+func (l *Leaf) cost(criteria Criteria) float64 {
+	now := criteria.Now
 	slots := float64(max(1, l.fields.Slots))
 	cost := l.slownessAt(now) * (1 + float64(len(l.running))/slots)
-	cost += wish.faultWeight() * l.faultsNow(now)
-	if l.fields.DataCentre != wish.DataCentre {
-		cost += distantWeight
+	cost += criteria.faultWeight() * l.faultRateAt(now)
+	if l.fields.DataCentre != criteria.DataCentre {
+		cost += remoteCost
 	}
-	if l.foreign {
-		cost += foreignCost
+	if l.isOutsideSubset {
+		cost += newConnectionCost
 	}
-	if l.Stalled(now) {
+	if l.IsStalled(now) {
 		cost += stalledCost
 	}
-	if l.Cold(now) {
-		cost += coldCost
+	if l.IsWarmingUp(now) {
+		cost += warmUpCost
 	}
-	if l.Away(now) {
-		cost += awayCost
+	if l.IsEjected(now) {
+		cost += ejectedCost
 	}
-	if l.fields.Leaving {
-		cost += leavingCost
+	if l.fields.IsDraining {
+		cost += drainingCost
 	}
 	return cost
 }
 
-func (w Wish) faultWeight() float64 {
-	if w.Once {
-		return onceFaultWeight
+func (c Criteria) faultWeight() float64 {
+	if c.IsNonIdempotent {
+		return nonIdempotentFaultWeight
 	}
 	return faultWeight
 }
 
-func fade(age, halfLife time.Duration) float64 {
+func decay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
--- a/pkg/placer/choice_test.go
+++ b/pkg/placer/choice_test.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Half of the leafs lose two answers in five for four seconds: one lost answer is reason enough to ask a sound leaf of
-// another data centre instead, without a connection to it.
-func TestLeafThatLosesAnswersIsAvoided(t *testing.T) {
+// Guards against repeated failures when half of the leafs lose two answers in five for four seconds. After a single lost
+// answer a healthy leaf in another data centre must be preferred, even without an open connection to it.
+func TestChooseAvoidsLeafAfterFailure(t *testing.T) {
 	cases := []struct {
 		name string
-		// outcomes are the ends of requests to the failing leaf, one after the other.
-		outcomes []Outcome
-		after    time.Duration
-		once     bool
-		want     string
+		// outcomes are those of consecutive requests to the failing leaf.
+		outcomes      []Outcome
+		elapsed       time.Duration
+		nonIdempotent bool
+		want          string
 	}{
-		{"nothing was lost", []Outcome{Answered}, 0, false, "failing"},
-		{"just after a lost answer", []Outcome{Faulty}, 0, false, "sound"},
-		{"three seconds later", []Outcome{Faulty}, 3 * time.Second, false, "sound"},
-		{"after an answer in between", []Outcome{Faulty, Answered}, 2 * time.Second, false, "sound"},
-		{"long after", []Outcome{Faulty}, 30 * time.Second, false, "failing"},
-		{"a request that must not run twice, after several answers", []Outcome{Faulty, Answered, Answered, Answered}, 2 * time.Second, true, "sound"},
+		{"no failure", []Outcome{Answered}, 0, false, "failing"},
+		{"immediately after a failure", []Outcome{Failed}, 0, false, "healthy"},
+		{"three seconds after a failure", []Outcome{Failed}, 3 * time.Second, false, "healthy"},
+		{"two seconds after a failure and an answer", []Outcome{Failed, Answered}, 2 * time.Second, false, "healthy"},
+		{"30 seconds after a failure", []Outcome{Failed}, 30 * time.Second, false, "failing"},
+		{"non-idempotent request two seconds after a failure and three answers", []Outcome{Failed, Answered, Answered, Answered}, 2 * time.Second, true, "healthy"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Minute
 			failing := New(Fields{ID: "failing", DataCentre: "a", Slots: 2}, 0, 0)
-			sound := New(Fields{ID: "sound", DataCentre: "b", Slots: 2}, 0, 0)
-			sound.SetHome(false)
+			healthy := New(Fields{ID: "healthy", DataCentre: "b", Slots: 2}, 0, 0)
+			healthy.SetInSubset(false)
 			for id, outcome := range c.outcomes {
-				failing.OnSend(uint64(id), usual, now)
-				failing.OnEnd(uint64(id), outcome, usual, usual, now)
+				failing.OnSend(uint64(id), typicalLatency, now)
+				failing.OnEnd(uint64(id), outcome, typicalLatency, typicalLatency, now)
 			}
-			wish := Wish{Now: now + c.after, DataCentre: "a", Once: c.once}
-			if got := Choose([]*Leaf{failing, sound}, wish).Fields().ID; got != c.want {
-				t.Errorf("got the %s leaf, want the %s one", got, c.want)
+			criteria := Criteria{Now: now + c.elapsed, DataCentre: "a", IsNonIdempotent: c.nonIdempotent}
+			if got := Choose([]*Leaf{failing, healthy}, criteria).Fields().ID; got != c.want {
+				t.Errorf("got the %s leaf, want the %s leaf", got, c.want)
 			}
 		})
 	}
@@ -50,45 +50,45 @@
 		}
 		return l
 	}
-	busy := func(l *Leaf) { l.OnSend(1, usual, now) }
-	cold := func(l *Leaf) { l.SetCold(now + time.Second) }
-	away := func(l *Leaf) {
-		l.OnSend(1, usual, now-usual)
-		l.OnEnd(1, Unreachable, usual, usual, now)
+	busy := func(l *Leaf) { l.OnSend(1, typicalLatency, now) }
+	warmingUp := func(l *Leaf) { l.ExtendWarmUp(now + time.Second) }
+	ejected := func(l *Leaf) {
+		l.OnSend(1, typicalLatency, now-typicalLatency)
+		l.OnEnd(1, Unreachable, typicalLatency, typicalLatency, now)
 	}
-	gone := func(l *Leaf) {
-		l.OnSend(1, usual, now-usual)
-		l.OnEnd(1, Replaced, usual, usual, now)
+	replaced := func(l *Leaf) {
+		l.OnSend(1, typicalLatency, now-typicalLatency)
+		l.OnEnd(1, Replaced, typicalLatency, typicalLatency, now)
 	}
-	stalled := func(l *Leaf) { l.OnSend(1, usual, now-time.Second) }
-	leaving := func(l *Leaf) { l.Update(Fields{ID: l.fields.ID, DataCentre: "a", Slots: 2, Leaving: true}, 0, now) }
-	longLeaving := func(l *Leaf) {
-		l.Update(Fields{ID: l.fields.ID, DataCentre: "a", Slots: 2, Leaving: true}, 0, now-leavingGrace-time.Millisecond)
+	stalled := func(l *Leaf) { l.OnSend(1, typicalLatency, now-time.Second) }
+	draining := func(l *Leaf) { l.Update(Fields{ID: l.fields.ID, DataCentre: "a", Slots: 2, IsDraining: true}, 0, now) }
+	drainingPastGrace := func(l *Leaf) {
+		l.Update(Fields{ID: l.fields.ID, DataCentre: "a", Slots: 2, IsDraining: true}, 0, now-drainingGrace-time.Millisecond)
 	}
-	out := func(l *Leaf) { l.Update(Fields{ID: l.fields.ID, DataCentre: "out", Slots: 2}, 0, now) }
+	outOfService := func(l *Leaf) { l.Update(Fields{ID: l.fields.ID, DataCentre: "out", Slots: 2}, 0, now) }
 	cases := []struct {
-		name  string
-		first func(l *Leaf)
-		other func(l *Leaf)
-		sound bool
-		want  string
+		name        string
+		first       func(l *Leaf)
+		other       func(l *Leaf)
+		healthyOnly bool
+		want        string
 	}{
-		{"the one with less work", busy, nil, false, "other"},
-		{"a busy one before a stalled one", stalled, busy, false, "other"},
-		{"a stalled one before a cold one", cold, stalled, false, "other"},
-		{"a cold one before one that could not be reached", away, cold, false, "other"},
-		{"one that could not be reached before a leaving one", leaving, away, false, "other"},
-		{"a leaving one before none", gone, leaving, false, "other"},
-		{"none that left long ago", gone, longLeaving, false, ""},
-		{"none of a data centre that is out", gone, out, false, ""},
-		{"no cold one for a second request", cold, gone, true, ""},
-		{"no stalled one for a second request", stalled, gone, true, ""},
+		{"idle leaf before busy leaf", busy, nil, false, "other"},
+		{"busy leaf before stalled leaf", stalled, busy, false, "other"},
+		{"stalled leaf before leaf in warm-up", warmingUp, stalled, false, "other"},
+		{"leaf in warm-up before unreachable leaf", ejected, warmingUp, false, "other"},
+		{"unreachable leaf before draining leaf", draining, ejected, false, "other"},
+		{"draining leaf as last resort", replaced, draining, false, "other"},
+		{"no leaf that has been draining for longer than the grace period", replaced, drainingPastGrace, false, ""},
+		{"no leaf in a data centre that is out of service", replaced, outOfService, false, ""},
+		{"no leaf in warm-up if healthy leafs only", warmingUp, replaced, true, ""},
+		{"no stalled leaf if healthy leafs only", stalled, replaced, true, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			got := ""
-			if l := Choose([]*Leaf{leaf("first", c.first), leaf("other", c.other)}, Wish{
-				Now: now, DataCentre: "a", Sound: c.sound, Out: func(centre string) bool { return centre == "out" },
+			if l := Choose([]*Leaf{leaf("first", c.first), leaf("other", c.other)}, Criteria{
+				Now: now, DataCentre: "a", RequiresHealthy: c.healthyOnly, IsOutOfService: func(dataCentre string) bool { return dataCentre == "out" },
 			}); l != nil {
 				got = l.Fields().ID
 			}
@@ -99,29 +99,30 @@
 	}
 }
 
-// Bytes between data centres are paid for: an own leaf that is a little slower, or has a request, is asked all the same.
-func TestOwnDataCentreIsPreferredWhileInTime(t *testing.T) {
+// Traffic between data centres is billed, so a local leaf must be preferred even if it is slightly slower or has one request
+// in progress.
+func TestChoosePrefersLocalDataCentre(t *testing.T) {
 	cases := []struct {
 		name     string
 		slowness float64
 		running  int
 		want     string
 	}{
-		{"as fast", 1, 0, "own"},
-		{"a little slower", 1.6, 0, "own"},
-		{"one request ahead", 1, 1, "own"},
-		{"much slower", 4, 0, "distant"},
-		{"full", 1, 6, "distant"},
+		{"equally fast", 1, 0, "local"},
+		{"slightly slower", 1.6, 0, "local"},
+		{"one request in progress", 1, 1, "local"},
+		{"much slower", 4, 0, "remote"},
+		{"more requests than slots", 1, 6, "remote"},
 	}
 	for _, c := range cases {
 		now := time.Minute
-		own, distant := New(Fields{ID: "own", DataCentre: "a", Slots: 2}, 0, 0), New(Fields{ID: "distant", DataCentre: "b", Slots: 2}, 0, 0)
-		own.slowness, own.slowAt = c.slowness, now
+		local, remote := New(Fields{ID: "local", DataCentre: "a", Slots: 2}, 0, 0), New(Fields{ID: "remote", DataCentre: "b", Slots: 2}, 0, 0)
+		local.slowness, local.slownessUpdatedAt = c.slowness, now
 		for id := range c.running {
-			own.OnSend(uint64(id), usual, now)
+			local.OnSend(uint64(id), typicalLatency, now)
 		}
-		if got := Choose([]*Leaf{distant, own}, Wish{Now: now, DataCentre: "a"}).Fields().ID; got != c.want {
-			t.Errorf("%s: the %s leaf, want the %s one", c.name, got, c.want)
+		if got := Choose([]*Leaf{remote, local}, Criteria{Now: now, DataCentre: "a"}).Fields().ID; got != c.want {
+			t.Errorf("%s: got the %s leaf, want the %s leaf", c.name, got, c.want)
 		}
 	}
 }
--- a/pkg/placer/doc.go
+++ b/pkg/placer/doc.go
@@ -1,2 +1,3 @@
-// Package placer decides which leaf gets a request, by what this instance saw of each leaf.
+// Package placer selects the leaf for each request from locally recorded latency, failures and load, and from observations
+// shared by other instances.
 package placer
--- a/pkg/placer/homes.go
+++ b/pkg/placer/homes.go
@@ -1,11 +1,11 @@
-// Where the connections of a leaf do not suffice for one from each instance,
-// every instance keeps connections to some leafs of a service only, its homes:
-// first to leafs of its own data centre, then to others as far as they have
-// connections left. With 87 instances in four data centres, and leafs in three
-// of them that keep 33 connections each:
+// If a leaf does not accept enough connections for one from each instance, every
+// instance keeps persistent connections to a subset of the leafs of a service
+// only: first to leafs of its own data centre, then to remote ones as far as
+// they have connections left. With 87 instances in four data centres, and one
+// leaf with 33 persistent connections in each of three of them, the subset is
 //
-//	an instance beside a leaf   that leaf
-//	an instance without one     one of the three by turns
+//	in a data centre with a leaf      that leaf
+//	in the data centre without one    one of the three leafs, assigned round-robin
 
 package placer
 
@@ -15,84 +15,85 @@
 )
 
 type (
-	// Location is where a leaf is.
+	// Location names a leaf and its data centre.
 	Location struct {
 		ID         string
 		DataCentre string
 	}
 
-	// InstanceSet is who shares the connections of a leaf, as one instance sees it.
+	// InstanceSet describes the instances that share the connections of a leaf, and the position of this instance among them.
 	InstanceSet struct {
 		DataCentre string
-		// Instances counts all instances by data centre, this one included.
+		// Instances is the number of instances by data centre, including this one.
 		Instances map[string]int
-		// Rank is the place of this instance among all, LocalRank that among those of its data centre; from 0.
+		// Rank is the position of this instance among all instances, LocalRank that within its data centre, both from 0.
 		Rank, LocalRank int
 	}
 
-	// ConnectionLimits is how many connections one leaf takes from all instances together.
+	// ConnectionLimits bounds the connections of all instances together to one leaf.
 	ConnectionLimits struct {
-		// Kept may stay open without a request, Open be open at any time.
-		Kept, Open int
+		// MaxIdle bounds the persistent connections, which stay open while idle, and MaxOpen all connections at any time.
+		MaxIdle, MaxOpen int
 	}
 )
 
-// Homes returns, for each of the given leafs, how many connections the instance may keep to it; a leaf that is no home
-// is left out.
-func Homes(leafs []Location, set InstanceSet, limits ConnectionLimits) map[string]int {
-	homes := make(map[string]int, len(leafs))
-	all := set.size()
-	if len(leafs) == 0 || all <= 0 {
-		return homes
+// Subset returns the leafs to which the instance keeps persistent connections, by ID, with the maximum number of its own
+// connections to each.
+func Subset(leafs []Location, set InstanceSet, limits ConnectionLimits) map[string]int {
+	subset := make(map[string]int, len(leafs))
+	total := set.size()
+	if len(leafs) == 0 || total <= 0 {
+		return subset
 	}
-	if limits.Kept >= all {
+	if limits.MaxIdle >= total {
 		for _, leaf := range leafs {
-			homes[leaf.ID] = max(1, limits.Open/all)
+			subset[leaf.ID] = max(1, limits.MaxOpen/total)
 		}
-		return homes
+		return subset
 	}
 	sorted := slices.SortedFunc(slices.Values(leafs), func(a, b Location) int { return strings.Compare(a.ID, b.ID) })
-	byCentre := make(map[string][]string)
+	byDataCentre := make(map[string][]string)
 	for _, leaf := range sorted {
-		byCentre[leaf.DataCentre] = append(byCentre[leaf.DataCentre], leaf.ID)
+		byDataCentre[leaf.DataCentre] = append(byDataCentre[leaf.DataCentre], leaf.ID)
 	}
-	left := limits.Kept * len(sorted)
-	for centre, ids := range byCentre {
-		left -= set.Instances[centre] * localHomes(len(ids), set.Instances[centre], limits.Kept)
+	remaining := limits.MaxIdle * len(sorted)
+	for dataCentre, ids := range byDataCentre {
+		remaining -= set.Instances[dataCentre] * localSubsetSize(len(ids), set.Instances[dataCentre], limits.MaxIdle)
 	}
-	own := byCentre[set.DataCentre]
-	local := localHomes(len(own), set.Instances[set.DataCentre], limits.Kept)
-	takeTurns(homes, own, set.LocalRank, local)
-	further := left / all
-	if local == 0 {
-		further = max(1, further)
+	localIDs := byDataCentre[set.DataCentre]
+	localCount := localSubsetSize(len(localIDs), set.Instances[set.DataCentre], limits.MaxIdle)
+	addRoundRobin(subset, localIDs, set.LocalRank, localCount)
+	remoteCount := remaining / total
+	if localCount == 0 {
+		remoteCount = max(1, remoteCount)
 	}
-	takeTurns(homes, others(sorted, set.DataCentre, local), set.Rank, further)
-	return homes
+	addRoundRobin(subset, remoteLeafs(sorted, set.DataCentre, localCount), set.Rank, remoteCount)
+	return subset
 }
 
-// others returns the leafs outside the data centre, or all where no leaf of it is a home.
-func others(sorted []Location, dataCentre string, local int) []string {
+// remoteLeafs returns the leafs outside the data centre, or all leafs if the subset has none in the data centre.
+func remoteLeafs(sorted []Location, dataCentre string, localCount int) []string {
 	var ids []string
 	for _, leaf := range sorted {
-		if local == 0 || leaf.DataCentre != dataCentre {
+		if localCount == 0 || leaf.DataCentre != dataCentre {
 			ids = append(ids, leaf.ID)
 		}
 	}
 	return ids
 }
 
-// localHomes returns how many of the leafs of a data centre each of its instances keeps connections to.
-func localHomes(leafs, instances, kept int) int {
+// localSubsetSize returns the number of leafs of a data centre to which each of its instances keeps connections.
+func localSubsetSize(leafs, instances, maxIdle int) int {
 	if instances == 0 {
 		return 0
 	}
-	return min(leafs, kept*leafs/instances)
+	return min(leafs, maxIdle*leafs/instances)
 }
 
-func takeTurns(homes map[string]int, ids []string, rank, count int) {
+// addRoundRobin adds count leafs, starting at rank, with one connection each.
+func addRoundRobin(subset map[string]int, ids []string, rank, count int) {
 	for i := range min(count, len(ids)) {
-		homes[ids[(rank+i)%len(ids)]] = 1
+		subset[ids[(rank+i)%len(ids)]] = 1
 	}
 }
 
--- a/pkg/placer/homes_test.go
+++ b/pkg/placer/homes_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-func TestHomes(t *testing.T) {
+func TestSubset(t *testing.T) {
 	cases := []struct {
 		name string
-		// leafs and instances count by data centre, "a" first.
+		// leafs and instances are the numbers of each by data centre, from "a".
 		leafs, instances []int
 		limits           ConnectionLimits
-		wantEach         int
-		wantHomes        int
-		// wantOwn is how many homes an instance beside leafs has among those.
-		wantOwn int
+		wantConnections  int
+		wantSubset       int
+		// wantLocal is the minimum number of local leafs in each subset, as far as the data centre has that many.
+		wantLocal int
 	}{
-		{"today's sites", []int{1, 1, 0}, []int{3, 2, 2}, ConnectionLimits{13, 23}, 3, 2, 1},
+		{"7 instances, 26 connections", []int{1, 1, 0}, []int{3, 2, 2}, ConnectionLimits{13, 23}, 3, 2, 1},
 		{"64 instances, 54 connections", []int{1, 1, 1}, []int{22, 21, 21}, ConnectionLimits{27, 49}, 1, 1, 1},
 		{"87 instances, 66 connections", []int{1, 1, 1, 0}, []int{24, 24, 20, 19}, ConnectionLimits{33, 60}, 1, 1, 1},
-		{"limits for a second home", []int{1, 1, 1, 0}, []int{24, 24, 20, 19}, ConnectionLimits{60, 60}, 1, 2, 1},
+		{"connections for a second leaf", []int{1, 1, 1, 0}, []int{24, 24, 20, 19}, ConnectionLimits{60, 60}, 1, 2, 1},
 		{"six leafs in four data centres", []int{2, 2, 1, 1}, []int{24, 24, 20, 19}, ConnectionLimits{60, 110}, 1, 4, 1},
 		{"one instance", []int{2}, []int{1}, ConnectionLimits{10, 20}, 20, 2, 2},
 	}
@@ -27,39 +27,40 @@
 		t.Run(c.name, func(t *testing.T) {
 			connections := map[string]int{}
 			for _, set := range instanceSets(c.instances) {
-				limits := Homes(locations(c.leafs), set, c.limits)
-				if len(limits) > c.wantHomes || len(limits) == 0 {
-					t.Fatalf("instance %d has %d homes, want at most %d", set.Rank, len(limits), c.wantHomes)
+				limits := Subset(locations(c.leafs), set, c.limits)
+				if len(limits) > c.wantSubset || len(limits) == 0 {
+					t.Fatalf("instance %d has %d leafs in its subset, want 1 to %d", set.Rank, len(limits), c.wantSubset)
 				}
-				own := 0
-				for _, spot := range locations(c.leafs) {
-					limit := limits[spot.ID]
-					if limit != 0 && limit != c.wantEach {
-						t.Fatalf("instance %d may keep %d connections, want %d", set.Rank, limit, c.wantEach)
+				local := 0
+				for _, leaf := range locations(c.leafs) {
+					limit := limits[leaf.ID]
+					if limit != 0 && limit != c.wantConnections {
+						t.Fatalf("instance %d may keep %d connections to a leaf, want %d", set.Rank, limit, c.wantConnections)
 					}
-					connections[spot.ID] += limit
-					if limit > 0 && spot.DataCentre == set.DataCentre {
-						own++
+					connections[leaf.ID] += limit
+					if limit > 0 && leaf.DataCentre == set.DataCentre {
+						local++
 					}
 				}
-				if beside := c.leafs[set.DataCentre[0]-'a']; own < min(c.wantOwn, beside) {
-					t.Errorf("instance %d in %s has %d homes there, want %d", set.Rank, set.DataCentre, own, c.wantOwn)
+				if localLeafs := c.leafs[set.DataCentre[0]-'a']; local < min(c.wantLocal, localLeafs) {
+					t.Errorf("instance %d in %s has %d local leafs in its subset, want at least %d", set.Rank, set.DataCentre, local, c.wantLocal)
 				}
 			}
 			for id, count := range connections {
-				if count > c.limits.Open {
-					t.Errorf("%s has %d connections, more than %d", id, count, c.limits.Open)
+				if count > c.limits.MaxOpen {
+					t.Errorf("%s gets %d connections, want at most %d", id, count, c.limits.MaxOpen)
 				}
 			}
 		})
 	}
 }
 
-// At the size of the aim a leaf has fewer connections than its data centre has instances.
-func TestHomesOfManyInstances(t *testing.T) {
+// With 2500 instances a leaf accepts fewer connections than its data centre has instances, and every instance must still get
+// one leaf.
+func TestSubsetWithMoreInstancesThanConnections(t *testing.T) {
 	for _, set := range instanceSets([]int{840, 830, 830}) {
-		if limits := Homes(locations([]int{2, 2, 1}), set, ConnectionLimits{50, 92}); len(limits) != 1 {
-			t.Fatalf("instance %d has %d homes, want 1", set.Rank, len(limits))
+		if limits := Subset(locations([]int{2, 2, 1}), set, ConnectionLimits{50, 92}); len(limits) != 1 {
+			t.Fatalf("instance %d has %d leafs in its subset, want 1", set.Rank, len(limits))
 		}
 	}
 }
--- a/pkg/placer/leaf.go
+++ b/pkg/placer/leaf.go
@@ -1,5 +1,6 @@
-// Leaf is what one instance knows of one leaf from its own requests. Health
-// endpoints are not consulted: they answer while requests fail, or the reverse.
+// The state of a leaf is derived from requests only. Health endpoints are not
+// consulted: they may answer while requests fail, and fail while requests
+// succeed.
 
 package placer
 
@@ -8,123 +9,132 @@
 )
 
 const (
-	// slownessGain is the weight of one answer in the running slowness, spellGain that of a slow answer in a spell that
-	// outlasts a pause.
-	slownessGain = 0.25
-	spellGain    = 0.6
-	// slownessHalfLife is how fast an old slowness fades towards normal, so that a leaf that was slow is tried again: spells
-	// last for 6 to 8 s.
+	// slownessGain is the weight of one answer in the moving average of the slowness. slowPeriodGain replaces it once a
+	// leaf has been slow for longer than a pause lasts.
+	slownessGain   = 0.25
+	slowPeriodGain = 0.6
+	// slownessHalfLife is the half-life with which slowness decays to 1, so that a leaf that was slow is tried again: slow
+	// periods last 6 to 8 s.
 	slownessHalfLife = 4 * time.Second
-	// lowestSlowness and highestSlowness bound what one answer can claim.
-	lowestSlowness  = 0.3
-	highestSlowness = 30.0
-	// faultGain is the weight of one outcome in the running share of faults.
-	faultGain = 0.4
-	// faultHalfLife is how fast an old share of faults fades: faults of leafs last for 4 to 8 s.
-	faultHalfLife = 5 * time.Second
-	// awayFirst and awayLongest bound the time without requests after a leaf could not be reached or was silent.
-	awayFirst   = 100 * time.Millisecond
-	awayLongest = 1600 * time.Millisecond
-	// stallFactor is how many typical times a request may be unanswered before the leaf counts as stalled.
+	// minSlowness and maxSlowness clamp the slowness computed from one answer.
+	minSlowness = 0.3
+	maxSlowness = 30.0
+	// faultRateGain is the weight of one outcome in the moving average of the failure rate.
+	faultRateGain = 0.4
+	// faultRateHalfLife is the half-life with which the failure rate decays: failures of a leaf last 4 to 8 s.
+	faultRateHalfLife = 5 * time.Second
+	// minEjection and maxEjection bound the time for which a leaf is ejected after it was unreachable or did not answer.
+	minEjection = 100 * time.Millisecond
+	maxEjection = 1600 * time.Millisecond
+	// stallFactor is how many typical latencies a request may remain unanswered before the leaf counts as stalled.
 	stallFactor = 3.0
-	// firstLimit is how many requests of this instance a leaf may have at first.
-	firstLimit = 16.0
-	// lowestLimit is the smallest limit; one below 1 stands for a pause after each request.
-	lowestLimit = 0.125
-	// pacePause is the pause at a limit of one half: about the time between two requests of one instance to a leaf today.
-	pacePause = 50 * time.Millisecond
-	// limitCut is what is left of the limit after a late or expired request, limitGain what an answer adds.
-	limitCut  = 0.5
-	limitGain = 0.1
-	// leavingGrace is how long a leaving leaf may still be the last resort; it serves for longer, but the list lags.
-	leavingGrace = time.Second
-	// leastStall keeps short requests from looking stalled by a hiccup of this instance.
-	leastStall = 25 * time.Millisecond
+	// maxLimit is the initial and highest concurrency limit, in requests of this instance.
+	maxLimit = 16.0
+	// minLimit is the lowest concurrency limit. A limit below 1 allows one request at a time, with a pause after each.
+	minLimit = 0.125
+	// pacingInterval is the time that must pass between the starts of two requests at a limit of 0.5: about the interval at
+	// which one instance sends requests to a leaf in the present deployment.
+	pacingInterval = 50 * time.Millisecond
+	// The limit is multiplied by limitDecreaseFactor after a late or timed-out request and raised by limitIncrease after
+	// each answer.
+	limitDecreaseFactor = 0.5
+	limitIncrease       = 0.1
+	// drainingGrace is how long a draining leaf may still be chosen as a last resort. The leaf serves for longer than that,
+	// but the list of leafs reports the start of draining with a delay.
+	drainingGrace = time.Second
+	// minStall prevents a scheduling delay of this instance from making short requests look stalled.
+	minStall = 25 * time.Millisecond
 )
 
 const (
-	// Answered is an answer that counts.
+	// Answered means that the leaf returned a usable answer.
 	Answered Outcome = iota
-	// Full is a refusal for lack of room, without an execution.
-	Full
-	// Faulty is an error answer, a broken one or a broken connection.
-	Faulty
+	// Refused means that the leaf refused the request for lack of capacity and did not execute it.
+	Refused
+	// Failed means that the leaf returned an error or an invalid answer, or that the connection broke.
+	Failed
 	// Unreachable means that no connection could be opened.
 	Unreachable
-	// Replaced means that another leaf has the address.
+	// Replaced means that another leaf now uses the address.
 	Replaced
-	// Expired means that the leaf stopped work at the time limit that it was given.
-	Expired
-	// Silent means that the request was given up without an answer.
-	Silent
-	// Dropped means that this instance had no memory left for the answer, which says nothing of the leaf.
+	// LeafTimedOut means that the leaf stopped work at the time limit it was given.
+	LeafTimedOut
+	// Unanswered means that the request had no answer when its time was over and was abandoned.
+	Unanswered
+	// Dropped means that this instance had no memory left for the answer, which says nothing about the leaf.
 	Dropped
 )
 
 type (
-	// Outcome is how an exchange ended.
+	// Outcome is the result of one request to a leaf.
 	Outcome int
 
-	// Fields are what the list of leafs says of a leaf.
+	// Fields holds the attributes of a leaf as given in the list of leafs.
 	Fields struct {
 		ID         string
 		Service    string
 		DataCentre string
 		Address    string
 		Slots      int
-		Leaving    bool
+		IsDraining bool
 	}
 
-	// Leaf is one leaf as this instance sees it; it belongs to one lock.
+	// Leaf holds what this instance knows about one leaf and requires external locking.
 	Leaf struct {
-		fields       Fields
-		coldUntil    time.Duration
-		running      map[uint64]time.Duration
-		slowness     float64
-		slowAt       time.Duration
-		faults       float64
-		faultsAt     time.Duration
-		away         time.Duration
-		awayUntil    time.Duration
-		lastAnswerAt time.Duration
-		typical      time.Duration
-		gone         bool
-		foreign      bool
-		limit        float64
-		sentAt       time.Duration
-		leavingSince time.Duration
-		// slow tells that the last answer was slow, slowSince and slowSeenAt when the spell began and was seen last.
-		slow       bool
+		fields      Fields
+		warmUpUntil time.Duration
+		// running holds the send times of the requests in progress by ID.
+		running map[uint64]time.Duration
+		// slowness is a moving average of the ratio of the latency to the typical latency; it is 1 for a leaf of usual speed.
+		slowness           float64
+		slownessUpdatedAt  time.Duration
+		faultRate          float64
+		faultRateUpdatedAt time.Duration
+		// ejection is the length of the last ejection, 0 after an answer.
+		ejection        time.Duration
+		ejectedUntil    time.Duration
+		lastAnswerAt    time.Duration
+		typicalLatency  time.Duration
+		isReplaced      bool
+		isOutsideSubset bool
+		limit           float64
+		lastSentAt      time.Duration
+		drainingSince   time.Duration
+		// isSlow is set if the last answer was slow. slowSince and lastSlowAt are the times of the first and the last slow
+		// answer of the slow period.
+		isSlow     bool
 		slowSince  time.Duration
-		slowSeenAt time.Duration
-		// seenAt is when something was last seen of the leaf, here or by another instance.
-		seenAt time.Duration
-		// toldBad tells that the others were told of a slow or failing leaf.
-		toldBad bool
+		lastSlowAt time.Duration
+		// observedAt is the time of the latest observation, made here or applied from another instance.
+		observedAt time.Duration
+		// isKnownUnhealthy is set if the latest observation, made here or applied from another instance, was that the leaf is
+		// slow, failing or replaced.
+		isKnownUnhealthy bool
 	}
 )
 
-// New returns a leaf of which nothing has been seen yet.
-func New(fields Fields, coldUntil, now time.Duration) *Leaf {
-	return &Leaf{fields: fields, coldUntil: coldUntil, leavingSince: now, slowness: 1, limit: firstLimit, running: map[uint64]time.Duration{}}
+// New returns a leaf without recorded requests that is warming up until warmUpUntil; a leaf that is listed as draining counts
+// as draining since now.
+func New(fields Fields, warmUpUntil, now time.Duration) *Leaf {
+	return &Leaf{fields: fields, warmUpUntil: warmUpUntil, drainingSince: now, slowness: 1, limit: maxLimit, running: map[uint64]time.Duration{}}
 }
 
-// String returns the outcome as words.
+// String returns the outcome as text for logs and explanations.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
 		return "answered"
-	case Full:
+	case Refused:
 		return "refused without running it"
-	case Faulty:
+	case Failed:
 		return "failed"
 	case Unreachable:
 		return "not reached"
 	case Replaced:
 		return "another leaf has the address"
-	case Expired:
+	case LeafTimedOut:
 		return "stopped at its time limit"
-	case Silent:
+	case Unanswered:
 		return "silent"
 	case Dropped:
 		return "dropped here for lack of memory"
@@ -132,181 +142,187 @@
 	return "unknown"
 }
 
-// Picture is what is known of a leaf, for a log line.
-type Picture struct {
-	Running  int
-	Limit    float64
-	Slowness float64
-	Faults   float64
-	Stalled  bool
-	Away     bool
+// Stats holds the figures of a leaf that are written to the log.
+type Stats struct {
+	Running   int
+	Limit     float64
+	Slowness  float64
+	FaultRate float64
+	IsStalled bool
+	IsEjected bool
 }
 
-// Picture returns what is known of the leaf.
-func (l *Leaf) Picture(now time.Duration) Picture {
-	return Picture{
-		Running: len(l.running), Limit: l.limit, Slowness: l.slownessAt(now), Faults: l.faultsNow(now),
-		Stalled: l.Stalled(now), Away: l.Away(now),
+// Stats returns the current figures of the leaf for a log line.
+func (l *Leaf) Stats(now time.Duration) Stats {
+	return Stats{
+		Running: len(l.running), Limit: l.limit, Slowness: l.slownessAt(now), FaultRate: l.faultRateAt(now),
+		IsStalled: l.IsStalled(now), IsEjected: l.IsEjected(now),
 	}
 }
 
-// Fields returns what the list of leafs says.
+// Fields returns the attributes of the leaf as last given in the list of leafs.
 func (l *Leaf) Fields() Fields { return l.fields }
 
-// Update takes what a later list says of the same leaf.
-func (l *Leaf) Update(fields Fields, coldUntil, now time.Duration) {
-	if fields.Leaving && !l.fields.Leaving {
-		l.leavingSince = now
+// Update sets the attributes and the end of the warm-up from a newer list of leafs.
+func (l *Leaf) Update(fields Fields, warmUpUntil, now time.Duration) {
+	if fields.IsDraining && !l.fields.IsDraining {
+		l.drainingSince = now
 	}
 	l.fields = fields
-	l.coldUntil = coldUntil
+	l.warmUpUntil = warmUpUntil
 }
 
-// Cold tells whether the leaf still warms up.
-func (l *Leaf) Cold(now time.Duration) bool { return now < l.coldUntil }
+// IsWarmingUp reports whether the leaf is still in its warm-up period.
+func (l *Leaf) IsWarmingUp(now time.Duration) bool { return now < l.warmUpUntil }
 
-// SetCold notes that the leaf is cold until the given time.
-func (l *Leaf) SetCold(until time.Duration) { l.coldUntil = max(l.coldUntil, until) }
+// ExtendWarmUp extends the warm-up period to the given time and never shortens it.
+func (l *Leaf) ExtendWarmUp(until time.Duration) { l.warmUpUntil = max(l.warmUpUntil, until) }
 
-// SetHome tells whether this instance keeps connections to the leaf.
-func (l *Leaf) SetHome(home bool) { l.foreign = !home }
+// SetInSubset sets whether the leaf is in the subset to which this instance keeps persistent connections.
+func (l *Leaf) SetInSubset(isInSubset bool) { l.isOutsideSubset = !isInSubset }
 
-// Home tells whether this instance keeps connections to the leaf.
-func (l *Leaf) Home() bool { return !l.foreign }
+// IsInSubset reports whether the leaf is in the subset to which this instance keeps persistent connections.
+func (l *Leaf) IsInSubset() bool { return !l.isOutsideSubset }
 
-// Gone tells whether another leaf has the address.
-func (l *Leaf) Gone() bool { return l.gone }
+// IsReplaced reports whether another leaf now uses the address.
+func (l *Leaf) IsReplaced() bool { return l.isReplaced }
 
-// Away tells whether the leaf is left alone for the moment.
-func (l *Leaf) Away(now time.Duration) bool { return now < l.awayUntil }
+// IsEjected reports whether the leaf is temporarily ejected and gets requests only as a last resort.
+func (l *Leaf) IsEjected(now time.Duration) bool { return now < l.ejectedUntil }
 
-// Running returns how many requests of this instance the leaf has.
+// Running returns the number of requests of this instance in progress at the leaf.
 func (l *Leaf) Running() int { return len(l.running) }
 
-// OnSend notes a request that was handed to the leaf; typical is the usual time of its kind.
-func (l *Leaf) OnSend(id uint64, typical, now time.Duration) {
+// OnSend records that a request was sent to the leaf; typicalLatency is the usual latency of requests of its kind.
+func (l *Leaf) OnSend(id uint64, typicalLatency, now time.Duration) {
 	l.running[id] = now
-	l.sentAt = now
-	l.typical = typical
+	l.lastSentAt = now
+	l.typicalLatency = typicalLatency
 }
 
-// OnEnd notes how a request ended; took is the time from sending it.
-func (l *Leaf) OnEnd(id uint64, outcome Outcome, took, typical, now time.Duration) {
+// OnEnd records the outcome of a request and its latency, measured from the time of sending.
+func (l *Leaf) OnEnd(id uint64, outcome Outcome, latency, typicalLatency, now time.Duration) {
 	delete(l.running, id)
 	switch outcome {
 	case Answered:
 		l.lastAnswerAt = now
-		l.away = 0
-		l.awayUntil = 0
-		ratio := float64(took) / float64(max(typical, time.Millisecond))
-		l.noteSlow(ratio, now)
-		l.learnSlowness(ratio, now)
-		l.learnFault(0, now)
-		l.limit = min(firstLimit, l.limit+limitGain)
-	case Full:
-		// The limit stays: a refusal takes none of the leaf's time, and some leafs refuse while they have room.
+		l.ejection = 0
+		l.ejectedUntil = 0
+		ratio := float64(latency) / float64(max(typicalLatency, time.Millisecond))
+		l.trackSlowPeriod(ratio, now)
+		l.updateSlowness(ratio, now)
+		l.updateFaultRate(0, now)
+		l.limit = min(maxLimit, l.limit+limitIncrease)
+	case Refused:
+		// The limit is unchanged: a refusal takes none of the leaf's time, and some leafs refuse requests while they still
+		// have capacity.
 		l.lastAnswerAt = now
-		l.learnFault(1, now)
-	case Faulty:
-		l.learnFault(1, now)
-	case Unreachable, Silent:
-		l.learnFault(1, now)
-		l.goAway(now)
-	case Expired:
+		l.updateFaultRate(1, now)
+	case Failed:
+		l.updateFaultRate(1, now)
+	case Unreachable, Unanswered:
+		l.updateFaultRate(1, now)
+		l.eject(now)
+	case LeafTimedOut:
 		l.lastAnswerAt = now
-		l.learnLate(took, typical, now)
-		l.cutLimit()
+		l.recordMinLatency(latency, typicalLatency, now)
+		l.decreaseLimit()
 	case Replaced:
-		l.gone = true
+		l.isReplaced = true
 	}
 }
 
-// OnLate notes that a request took at least this long and was given up, since it is late or another leaf answered. A leaf
-// that answered nothing in all that time is left alone for a moment, and for longer each time.
-func (l *Leaf) OnLate(id uint64, took, typical, now time.Duration) {
+// OnAbandon records that a request was abandoned without an answer after the elapsed time, because it is late or another leaf
+// answered. After more than stallFactor typical latencies the concurrency limit is reduced, and a leaf that has answered
+// nothing since the request was sent is ejected.
+func (l *Leaf) OnAbandon(id uint64, elapsed, typicalLatency, now time.Duration) {
 	sent, known := l.running[id]
 	delete(l.running, id)
-	l.learnLate(took, typical, now)
-	if took <= time.Duration(stallFactor*float64(typical)) {
+	l.recordMinLatency(elapsed, typicalLatency, now)
+	if elapsed <= time.Duration(stallFactor*float64(typicalLatency)) {
 		return
 	}
-	l.cutLimit()
+	l.decreaseLimit()
 	if known && l.lastAnswerAt <= sent {
-		l.goAway(now)
+		l.eject(now)
 	}
 }
 
-// OnSilence notes that a request has not been answered for this long and is sent elsewhere as well.
-func (l *Leaf) OnSilence(silence, typical, now time.Duration) { l.learnLate(silence, typical, now) }
+// OnOverdue records that a request is still unanswered after the elapsed time and is sent to another leaf as well.
+func (l *Leaf) OnOverdue(elapsed, typicalLatency, now time.Duration) {
+	l.recordMinLatency(elapsed, typicalLatency, now)
+}
 
-// cutLimit sends less to a leaf that fell behind: what is queued there is late for all who ask.
-func (l *Leaf) cutLimit() { l.limit = max(lowestLimit, limitCut*l.limit) }
+// decreaseLimit reduces the load on a leaf that has fallen behind: requests queued there are late for every instance.
+func (l *Leaf) decreaseLimit() { l.limit = max(minLimit, limitDecreaseFactor*l.limit) }
 
-// AtLimit tells whether the leaf has as many requests of this instance as it answers in time.
-func (l *Leaf) AtLimit(now time.Duration) bool {
+// IsAtLimit reports whether the concurrency limit of this instance for the leaf is reached.
+func (l *Leaf) IsAtLimit(now time.Duration) bool {
 	if l.limit >= 1 {
 		return float64(len(l.running)) >= l.limit
 	}
-	pause := time.Duration((1/l.limit - 1) * float64(pacePause))
-	return len(l.running) > 0 || now-l.sentAt < pause
+	pause := time.Duration((1/l.limit - 1) * float64(pacingInterval))
+	return len(l.running) > 0 || now-l.lastSentAt < pause
 }
 
-func (l *Leaf) learnLate(took, typical, now time.Duration) {
-	ratio := float64(took) / float64(max(typical, time.Millisecond))
-	if ratio >= slowRatio {
-		l.noteSlow(ratio, now)
+// recordMinLatency records the elapsed time of an unanswered request as a lower bound of its latency.
+func (l *Leaf) recordMinLatency(elapsed, typicalLatency, now time.Duration) {
+	ratio := float64(elapsed) / float64(max(typicalLatency, time.Millisecond))
+	if ratio >= slowThreshold {
+		l.trackSlowPeriod(ratio, now)
 	}
 	if ratio > l.slownessAt(now) {
-		l.learnSlowness(ratio, now)
+		l.updateSlowness(ratio, now)
 	}
 }
 
-// Stalled tells whether the leaf has not answered anything for several typical times although it should have.
-func (l *Leaf) Stalled(now time.Duration) bool {
+// IsStalled reports whether the leaf has requests in progress and has answered none for several typical latencies.
+func (l *Leaf) IsStalled(now time.Duration) bool {
 	oldest := now
 	for _, sent := range l.running {
 		oldest = min(oldest, sent)
 	}
-	silence := now - max(oldest, l.lastAnswerAt)
-	limit := max(leastStall, time.Duration(stallFactor*l.slownessAt(now)*float64(l.typical)))
-	return silence > limit
+	unanswered := now - max(oldest, l.lastAnswerAt)
+	limit := max(minStall, time.Duration(stallFactor*l.slownessAt(now)*float64(l.typicalLatency)))
+	return unanswered > limit
 }
 
-// Expected returns how long a request of a kind with the given usual time will probably take.
-func (l *Leaf) Expected(typical, now time.Duration) time.Duration {
-	ahead := float64(len(l.running)) / float64(max(1, l.fields.Slots))
-	return time.Duration(l.slownessAt(now) * (1 + ahead) * float64(typical))
+// ExpectedLatency returns the expected latency of a request whose kind has the given typical latency.
+func (l *Leaf) ExpectedLatency(typicalLatency, now time.Duration) time.Duration {
+	load := float64(len(l.running)) / float64(max(1, l.fields.Slots))
+	return time.Duration(l.slownessAt(now) * (1 + load) * float64(typicalLatency))
 }
 
-func (l *Leaf) learnSlowness(ratio float64, now time.Duration) {
-	ratio = max(lowestSlowness, min(ratio, highestSlowness))
-	present := l.slownessAt(now)
+func (l *Leaf) updateSlowness(ratio float64, now time.Duration) {
+	ratio = max(minSlowness, min(ratio, maxSlowness))
+	current := l.slownessAt(now)
 	gain := slownessGain
-	if l.slow && now-l.slowSince >= longestPause {
-		gain = spellGain
+	if l.isSlow && now-l.slowSince >= maxPause {
+		gain = slowPeriodGain
 	}
-	l.slowness = present + gain*(ratio-present)
-	l.slowAt = now
+	l.slowness = current + gain*(ratio-current)
+	l.slownessUpdatedAt = now
 }
 
-func (l *Leaf) learnFault(fault float64, now time.Duration) {
-	present := l.faultsNow(now)
-	l.faults = present + faultGain*(fault-present)
-	l.faultsAt = now
+func (l *Leaf) updateFaultRate(fault float64, now time.Duration) {
+	current := l.faultRateAt(now)
+	l.faultRate = current + faultRateGain*(fault-current)
+	l.faultRateUpdatedAt = now
 }
 
-func (l *Leaf) goAway(now time.Duration) {
-	if now < l.awayUntil {
+// eject ejects the leaf, for twice as long as the last time if it has not answered since.
+func (l *Leaf) eject(now time.Duration) {
+	if now < l.ejectedUntil {
 		return
 	}
-	l.away = min(awayLongest, max(awayFirst, 2*l.away))
-	l.awayUntil = now + l.away
+	l.ejection = min(maxEjection, max(minEjection, 2*l.ejection))
+	l.ejectedUntil = now + l.ejection
 }
 
 func (l *Leaf) slownessAt(now time.Duration) float64 {
-	return 1 + (l.slowness-1)*fade(now-l.slowAt, slownessHalfLife)
+	return 1 + (l.slowness-1)*decay(now-l.slownessUpdatedAt, slownessHalfLife)
 }
 
-func (l *Leaf) faultsNow(now time.Duration) float64 {
-	return l.faults * fade(now-l.faultsAt, faultHalfLife)
+func (l *Leaf) faultRateAt(now time.Duration) float64 {
+	return l.faultRate * decay(now-l.faultRateUpdatedAt, faultRateHalfLife)
 }
--- a/pkg/placer/observation.go
+++ b/pkg/placer/observation.go
@@ -1,85 +1,92 @@
-// An observation is what an instance tells the others of a leaf. Every leaf stops
-// for a moment now and then, which is over before the others hear of it; only
-// slowness that outlasts such a pause is believed.
+// Instances share observations of leafs. Every leaf pauses briefly from time to
+// time, and the pause is over before the observation arrives elsewhere, so the
+// slowness in an observation is applied only if the leaf has been slow for longer
+// than a pause lasts.
 
 package placer
 
 import "time"
 
 const (
-	// slowRatio is how many usual times an answer takes that counts as slow: leafs of one service differ by less.
-	slowRatio = 2.0
-	// longestPause is how long a sound leaf may stop: 150 to 250 ms today.
-	longestPause = 300 * time.Millisecond
-	// slowMemory is how far apart two slow answers may be and still count as one spell.
-	slowMemory = 3 * time.Second
-	// goneFor is how long a leaf is left alone whose address another one has, by another instance's word: the list drops it
-	// within that time.
-	goneFor = 5 * time.Second
-	// faultNews is the share of faults that is worth telling; one fault makes 0.3.
-	faultNews = 0.2
+	// slowThreshold is the latency from which an answer counts as slow, in typical latencies: the latencies of
+	// healthy leafs of one service differ by a smaller factor.
+	slowThreshold = 2.0
+	// maxPause is the longest pause expected of a healthy leaf; healthy leafs pause for 150 to 250 ms.
+	maxPause = 300 * time.Millisecond
+	// maxSlowGap is the longest time between two slow answers of one slow period.
+	maxSlowGap = 3 * time.Second
+	// replacedEjection is how long a leaf is ejected after another instance observed that it was replaced: the list of leafs
+	// drops it within that time.
+	replacedEjection = 5 * time.Second
+	// unhealthyFaultRate is the failure rate from which a leaf counts as unhealthy; a single failure exceeds it.
+	unhealthyFaultRate = 0.2
 )
 
-// Observation is what was seen of a leaf at one time.
+// Observation is the state of a leaf as seen by one instance at one time.
 type Observation struct {
+	// Slowness is the average latency divided by the typical latency.
 	Slowness float64
-	Faults   float64
-	// SlowFor is how long the leaf had been slow without a break, 0 where it was not.
+	// FaultRate is the failure rate, 0 to 1.
+	FaultRate float64
+	// SlowFor is the length of the slow period so far, 0 if the last answer was not slow.
 	SlowFor time.Duration
-	// IsSlow tells that the last answer was slow.
+	// IsSlow is set if the last answer was slow.
 	IsSlow bool
-	// IsGone tells that another leaf has the address.
-	IsGone bool
+	// IsReplaced is set if another leaf now uses the address.
+	IsReplaced bool
+	// SeenAt is the time of the observation.
 	SeenAt time.Duration
 }
 
-// News returns what the others should know after a request ended: that the leaf is slow or fails, or no longer does.
-func (l *Leaf) News(now time.Duration) (Observation, bool) {
-	observation := Observation{Slowness: l.slownessAt(now), Faults: l.faultsNow(now), SeenAt: now, IsSlow: l.slow, IsGone: l.gone}
-	if l.slow {
+// Observe returns the current observation of the leaf, and whether to share it with the other instances: it is shared while
+// the leaf is slow, failing or replaced, and once after its recovery.
+func (l *Leaf) Observe(now time.Duration) (Observation, bool) {
+	observation := Observation{Slowness: l.slownessAt(now), FaultRate: l.faultRateAt(now), SeenAt: now, IsSlow: l.isSlow, IsReplaced: l.isReplaced}
+	if l.isSlow {
 		observation.SlowFor = now - l.slowSince
 	}
-	bad := l.slow || l.gone || observation.Faults >= faultNews
-	news := bad || l.toldBad
-	l.toldBad = bad
-	l.seenAt = now
-	return observation, news
+	isUnhealthy := l.isSlow || l.isReplaced || observation.FaultRate >= unhealthyFaultRate
+	shouldShare := isUnhealthy || l.isKnownUnhealthy
+	l.isKnownUnhealthy = isUnhealthy
+	l.observedAt = now
+	return observation, shouldShare
 }
 
-// Take believes what another instance saw, where it is later than what this one knows, and tells whether the leaf turned
-// bad or sound by that.
-func (l *Leaf) Take(observation Observation) bool {
-	if observation.SeenAt <= l.seenAt {
+// Apply applies an observation made by another instance unless a newer one is known, and reports whether the leaf changed
+// between healthy and unhealthy.
+func (l *Leaf) Apply(observation Observation) bool {
+	if observation.SeenAt <= l.observedAt {
 		return false
 	}
-	l.seenAt = observation.SeenAt
-	if observation.IsGone {
-		l.awayUntil = max(l.awayUntil, observation.SeenAt+goneFor)
+	l.observedAt = observation.SeenAt
+	if observation.IsReplaced {
+		l.ejectedUntil = max(l.ejectedUntil, observation.SeenAt+replacedEjection)
 	}
-	bad := observation.IsSlow || observation.IsGone || observation.Faults >= faultNews
-	turned := bad != l.toldBad
-	l.toldBad = bad
-	l.faults, l.faultsAt = observation.Faults, observation.SeenAt
-	l.slow = observation.IsSlow
+	isUnhealthy := observation.IsSlow || observation.IsReplaced || observation.FaultRate >= unhealthyFaultRate
+	changed := isUnhealthy != l.isKnownUnhealthy
+	l.isKnownUnhealthy = isUnhealthy
+	l.faultRate, l.faultRateUpdatedAt = observation.FaultRate, observation.SeenAt
+	l.isSlow = observation.IsSlow
 	if observation.IsSlow {
-		l.slowSince, l.slowSeenAt = observation.SeenAt-observation.SlowFor, observation.SeenAt
-		if observation.SlowFor < longestPause {
-			return turned
+		l.slowSince, l.lastSlowAt = observation.SeenAt-observation.SlowFor, observation.SeenAt
+		if observation.SlowFor < maxPause {
+			return changed
 		}
 	}
-	l.slowness, l.slowAt = observation.Slowness, observation.SeenAt
-	return turned
+	l.slowness, l.slownessUpdatedAt = observation.Slowness, observation.SeenAt
+	return changed
 }
 
-// noteSlow follows spells of slow answers.
-func (l *Leaf) noteSlow(ratio float64, now time.Duration) {
-	if ratio < slowRatio {
-		l.slow = false
+// trackSlowPeriod starts, extends or ends the slow period after a request with the given ratio of its latency to the typical
+// latency.
+func (l *Leaf) trackSlowPeriod(ratio float64, now time.Duration) {
+	if ratio < slowThreshold {
+		l.isSlow = false
 		return
 	}
-	if !l.slow || now-l.slowSeenAt > slowMemory {
+	if !l.isSlow || now-l.lastSlowAt > maxSlowGap {
 		l.slowSince = now
 	}
-	l.slow = true
-	l.slowSeenAt = now
+	l.isSlow = true
+	l.lastSlowAt = now
 }
--- a/pkg/placer/observation_test.go
+++ b/pkg/placer/observation_test.go
@@ -5,160 +5,162 @@
 	"time"
 )
 
-const usual = 20 * time.Millisecond
+const typicalLatency = 20 * time.Millisecond
 
-// A slow leaf is seen by one instance after the other; each of them sends it a request every few seconds only.
-func TestSlowLeafIsBelievedSlowElsewhere(t *testing.T) {
+// Each instance sends a request to a given leaf only every few seconds, so a slow leaf is recognised only if the observations
+// of several instances are combined.
+func TestObservationSharesSlownessLongerThanPause(t *testing.T) {
 	cases := []struct {
 		name string
-		// answers are the times that requests to the leaf took, sent by different instances 400 ms apart.
-		answers  []time.Duration
-		wantSlow bool
+		// latencies are those of requests to the leaf, sent by different instances 400 ms apart.
+		latencies []time.Duration
+		wantSlow  bool
 	}{
-		{"a pause is over before the others hear of it", []time.Duration{10 * usual}, false},
-		{"slow for longer than a pause", []time.Duration{10 * usual, 10 * usual}, true},
-		{"slow, then sound", []time.Duration{10 * usual, usual, usual, 10 * usual}, false},
+		{"a single pause", []time.Duration{10 * typicalLatency}, false},
+		{"slow for longer than a pause", []time.Duration{10 * typicalLatency, 10 * typicalLatency}, true},
+		{"slow, recovered, then a single pause", []time.Duration{10 * typicalLatency, typicalLatency, typicalLatency, 10 * typicalLatency}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Minute
 			observer := New(Fields{ID: "a"}, 0, 0)
-			var news Observation
-			known := false
-			for i, took := range c.answers {
+			var shared Observation
+			isShared := false
+			for i, latency := range c.latencies {
 				instance := New(Fields{ID: "a"}, 0, 0)
-				if known {
-					instance.Take(news)
+				if isShared {
+					instance.Apply(shared)
 				}
-				instance.OnSend(uint64(i), usual, now-took)
-				instance.OnEnd(uint64(i), Answered, took, usual, now)
-				if next, ok := instance.News(now); ok {
-					news, known = next, true
-					observer.Take(news)
+				instance.OnSend(uint64(i), typicalLatency, now-latency)
+				instance.OnEnd(uint64(i), Answered, latency, typicalLatency, now)
+				if next, ok := instance.Observe(now); ok {
+					shared, isShared = next, true
+					observer.Apply(shared)
 				}
 				now += 400 * time.Millisecond
 			}
 			if got := observer.slownessAt(now) > 1.5; got != c.wantSlow {
-				t.Errorf("believed slow: %v (slowness %.2f), want %v", got, observer.slownessAt(now), c.wantSlow)
+				t.Errorf("got slow %v at the observer (slowness %.2f), want %v", got, observer.slownessAt(now), c.wantSlow)
 			}
 		})
 	}
 }
 
-func TestOneFaultIsNews(t *testing.T) {
+func TestObservationSharedAfterSingleFailure(t *testing.T) {
 	now := time.Minute
 	instance, observer := New(Fields{ID: "a"}, 0, 0), New(Fields{ID: "a"}, 0, 0)
 	other := New(Fields{ID: "b"}, 0, 0)
-	instance.OnSend(1, usual, now)
-	instance.OnEnd(1, Faulty, usual, usual, now)
-	news, ok := instance.News(now)
+	instance.OnSend(1, typicalLatency, now)
+	instance.OnEnd(1, Failed, typicalLatency, typicalLatency, now)
+	observation, ok := instance.Observe(now)
 	if !ok {
-		t.Fatal("a fault is no news")
+		t.Fatal("observation after a failure is not shared, want it shared")
 	}
-	observer.Take(news)
-	if leaf := Choose([]*Leaf{observer, other}, Wish{Now: now}); leaf != other {
-		t.Error("another instance still prefers the leaf that failed")
+	observer.Apply(observation)
+	if leaf := Choose([]*Leaf{observer, other}, Criteria{Now: now}); leaf != other {
+		t.Error("observer chose the leaf that failed, want the other leaf")
 	}
 }
 
-func TestOlderObservationIsNotBelieved(t *testing.T) {
+func TestApplyIgnoresOlderObservation(t *testing.T) {
 	now := time.Minute
 	observer := New(Fields{ID: "a"}, 0, 0)
-	observer.OnSend(1, usual, now-usual)
-	observer.OnEnd(1, Answered, usual, usual, now)
-	observer.News(now)
-	observer.Take(Observation{Slowness: 9, IsSlow: true, SlowFor: time.Second, SeenAt: now - time.Second})
+	observer.OnSend(1, typicalLatency, now-typicalLatency)
+	observer.OnEnd(1, Answered, typicalLatency, typicalLatency, now)
+	observer.Observe(now)
+	observer.Apply(Observation{Slowness: 9, IsSlow: true, SlowFor: time.Second, SeenAt: now - time.Second})
 	if slowness := observer.slownessAt(now); slowness > 1.5 {
-		t.Errorf("an answer of now counts less than an observation of a second ago: slowness %.2f", slowness)
+		t.Errorf("got slowness %.2f after an observation older than the last answer, want at most 1.5", slowness)
 	}
 }
 
-func TestRecoveryIsNewsOnce(t *testing.T) {
+func TestObservationSharesRecoveryOnce(t *testing.T) {
 	now := time.Minute
 	instance := New(Fields{ID: "a"}, 0, 0)
-	end := func(took time.Duration) bool {
+	sendRequest := func(latency time.Duration) bool {
 		now += time.Second
-		instance.OnSend(1, usual, now-took)
-		instance.OnEnd(1, Answered, took, usual, now)
-		_, ok := instance.News(now)
+		instance.OnSend(1, typicalLatency, now-latency)
+		instance.OnEnd(1, Answered, latency, typicalLatency, now)
+		_, ok := instance.Observe(now)
 		return ok
 	}
-	if !end(10 * usual) {
-		t.Error("a slow answer is no news")
+	if !sendRequest(10 * typicalLatency) {
+		t.Error("observation after a slow answer is not shared, want it shared")
 	}
-	if !end(usual) {
-		t.Error("the recovery is no news")
+	if !sendRequest(typicalLatency) {
+		t.Error("first observation after recovery is not shared, want it shared")
 	}
-	if end(usual) {
-		t.Error("a usual answer is news")
+	if sendRequest(typicalLatency) {
+		t.Error("second observation after recovery is shared, want it not shared")
 	}
 }
 
-// Leafs of many shards fall silent or turn slow for six seconds; each of many instances sends one of them a request now and
-// then, and gives it up when the answer is due.
-func TestSilentLeafStaysBehindOthers(t *testing.T) {
-	const due = 6 * usual
-	fields := Fields{ID: "silent", DataCentre: "a", Slots: 2}
+// Guards against requests to leafs that stop answering or become slow for six seconds while each of many instances sends
+// them a request only now and then and abandons it at its time limit. The observations of three instances together must
+// keep the leaf behind a busy one for three seconds.
+func TestUnresponsiveLeafIsEjected(t *testing.T) {
+	const timeout = 6 * typicalLatency
+	fields := Fields{ID: "unresponsive", DataCentre: "a", Slots: 2}
 	now := time.Minute
-	known := New(fields, 0, 0)
+	lastObserver := New(fields, 0, 0)
 	for range 3 {
 		now += 400 * time.Millisecond
 		instance := New(fields, 0, 0)
-		if news, ok := known.News(now - due); ok {
-			instance.Take(news)
+		if observation, ok := lastObserver.Observe(now - timeout); ok {
+			instance.Apply(observation)
 		}
-		instance.OnSend(1, usual, now-due)
-		instance.OnLate(1, due, usual, now)
-		if !instance.Away(now) {
-			t.Fatal("a leaf that answered nothing until the answer was due is asked again at once")
+		instance.OnSend(1, typicalLatency, now-timeout)
+		instance.OnAbandon(1, timeout, typicalLatency, now)
+		if !instance.IsEjected(now) {
+			t.Fatal("leaf is not ejected after a request timed out without any answer, want it ejected")
 		}
-		known = instance
+		lastObserver = instance
 	}
-	news, ok := known.News(now)
+	observation, ok := lastObserver.Observe(now)
 	if !ok {
-		t.Fatal("a silent leaf is no news")
+		t.Fatal("observation of an unresponsive leaf is not shared, want it shared")
 	}
 	observer, other := New(fields, 0, 0), New(Fields{ID: "other", DataCentre: "b", Slots: 2}, 0, 0)
-	observer.Take(news)
-	other.SetHome(false)
+	observer.Apply(observation)
+	other.SetInSubset(false)
 	for _, busy := range []uint64{1, 2} {
-		other.OnSend(busy, usual, now+3*time.Second)
+		other.OnSend(busy, typicalLatency, now+3*time.Second)
 	}
-	if leaf := Choose([]*Leaf{observer, other}, Wish{Now: now + 3*time.Second, DataCentre: "a"}); leaf != other {
-		t.Errorf("three seconds later the silent leaf is preferred to a busy one (slowness %.1f)", observer.slownessAt(now+3*time.Second))
+	if leaf := Choose([]*Leaf{observer, other}, Criteria{Now: now + 3*time.Second, DataCentre: "a"}); leaf != other {
+		t.Errorf("got the unresponsive leaf 3 s later (slowness %.1f), want the busy leaf", observer.slownessAt(now+3*time.Second))
 	}
 }
 
-func TestLeafThatAnswersOthersIsNotLeftAlone(t *testing.T) {
+func TestLateRequestDoesNotEjectResponsiveLeaf(t *testing.T) {
 	leaf := New(Fields{ID: "a", Slots: 2}, 0, 0)
 	now := time.Minute
-	leaf.OnSend(1, usual, now)
-	leaf.OnSend(2, usual, now)
-	leaf.OnEnd(2, Answered, usual, usual, now+usual)
-	leaf.OnLate(1, 6*usual, usual, now+6*usual)
-	if leaf.Away(now + 6*usual) {
-		t.Error("a leaf that answered another request meanwhile is left alone")
+	leaf.OnSend(1, typicalLatency, now)
+	leaf.OnSend(2, typicalLatency, now)
+	leaf.OnEnd(2, Answered, typicalLatency, typicalLatency, now+typicalLatency)
+	leaf.OnAbandon(1, 6*typicalLatency, typicalLatency, now+6*typicalLatency)
+	if leaf.IsEjected(now + 6*typicalLatency) {
+		t.Error("leaf that answered another request in the meantime is ejected, want it not ejected")
 	}
 }
 
-// Leafs of many shards are gone and their addresses belong to others, while the list still has them: one refusal is enough
-// for all instances.
-func TestReplacedLeafIsLeftAloneElsewhere(t *testing.T) {
+// Leafs of many shards have been replaced by others at the same addresses, but are still in the list of leafs. A refusal seen
+// by one instance must eject the leaf at all of them.
+func TestReplacedLeafIsEjectedByObservers(t *testing.T) {
 	now := time.Minute
 	instance, observer := New(Fields{ID: "a"}, 0, 0), New(Fields{ID: "a"}, 0, 0)
 	other := New(Fields{ID: "b"}, 0, 0)
-	other.OnSend(1, usual, now)
-	instance.OnSend(1, usual, now)
-	instance.OnEnd(1, Replaced, usual, usual, now)
-	news, ok := instance.News(now)
-	if !ok || !news.IsGone {
-		t.Fatalf("got %+v (news: %v), want that the leaf is gone", news, ok)
-	}
-	observer.Take(news)
-	if leaf := Choose([]*Leaf{observer, other}, Wish{Now: now + time.Second}); leaf != other {
-		t.Error("another instance still asks the leaf whose address belongs to another")
-	}
-	if observer.Away(now + 2*goneFor) {
-		t.Error("the leaf is left alone for good by another instance's word")
+	other.OnSend(1, typicalLatency, now)
+	instance.OnSend(1, typicalLatency, now)
+	instance.OnEnd(1, Replaced, typicalLatency, typicalLatency, now)
+	observation, ok := instance.Observe(now)
+	if !ok || !observation.IsReplaced {
+		t.Fatalf("got observation %+v (shared: %v), want a shared one with the leaf replaced", observation, ok)
+	}
+	observer.Apply(observation)
+	if leaf := Choose([]*Leaf{observer, other}, Criteria{Now: now + time.Second}); leaf != other {
+		t.Error("observer chose the replaced leaf, want the other leaf")
+	}
+	if observer.IsEjected(now + 2*replacedEjection) {
+		t.Error("leaf is still ejected 10 s after the observation, want it not ejected")
 	}
 }
--- a/pkg/slicer/pay.go
+++ b/pkg/slicer/pay.go
@@ -1,25 +1,26 @@
-// Slices pay where an instance asks a leaf too seldom to keep a connection and
-// to know it. With many queries at each instance a gatherer would get a slice of
-// every query of its data centre, more than it bears, and direct asking has
-// warm connections anyway:
+// Slices reduce the number of instances that ask each leaf, which is worthwhile while an
+// instance asks a leaf too rarely to keep a connection to it and to know its
+// state. At higher rates each instance has open connections anyway, and a
+// gatherer would be overloaded with a slice of every query of its data centre:
 //
-//	large site    0.2 requests a second at each instance    slices
-//	in two years  232                                       each instance asks the leafs itself
+//	large site    0.2 requests/s at each instance    slices
+//	in 2 years    232 requests/s                     each instance asks the leafs directly
 
 package slicer
 
 const (
-	// directRate is the number of requests a second at an instance beyond which it asks the leafs itself, and sliceRate that below
-	// which shards are gathered in slices again: some ten requests a second reach each leaf of the own data centre then.
-	directRate = 20.0
-	sliceRate  = 10.0
+	// stopSlicingRate is the average rate in requests per second and instance above which each instance asks the leafs
+	// directly. Slicing resumes below resumeSlicingRate: there, each leaf of the local data centre receives some ten requests
+	// per second.
+	stopSlicingRate   = 20.0
+	resumeSlicingRate = 10.0
 )
 
-// Pays tells whether shards should be gathered in slices, by the requests a second of an average instance; sliced tells
-// whether they are now.
-func Pays(sliced bool, perInstance float64) bool {
-	if sliced {
-		return perInstance <= directRate
+// ShouldSlice reports whether shards should be gathered in slices at the given average number of requests per second and
+// instance; isSlicing is the present state, which decides between the two thresholds.
+func ShouldSlice(isSlicing bool, requestsPerSecond float64) bool {
+	if isSlicing {
+		return requestsPerSecond <= stopSlicingRate
 	}
-	return perInstance < sliceRate
+	return requestsPerSecond < resumeSlicingRate
 }
--- a/pkg/slicer/pay_test.go
+++ b/pkg/slicer/pay_test.go
@@ -2,18 +2,19 @@
 
 import "testing"
 
-// The load of a fleet rises to that of two years and falls again.
-func TestSlicesFollowTheLoad(t *testing.T) {
+// The load rises to the 232 requests/s per instance that are expected in two years and falls again. Between the two
+// thresholds the present state must be kept.
+func TestShouldSliceFollowsLoad(t *testing.T) {
 	steps := []struct {
-		perInstance float64
-		want        bool
+		requestsPerSecond float64
+		want              bool
 	}{
 		{0, true}, {0.2, true}, {15, true}, {20, true}, {21, false}, {232, false}, {15, false}, {10, false}, {9.9, true}, {15, true},
 	}
-	sliced := true
+	isSlicing := true
 	for i, step := range steps {
-		if sliced = Pays(sliced, step.perInstance); sliced != step.want {
-			t.Errorf("step %d, %g requests a second: sliced %v, want %v", i, step.perInstance, sliced, step.want)
+		if isSlicing = ShouldSlice(isSlicing, step.requestsPerSecond); isSlicing != step.want {
+			t.Errorf("step %d, %g requests/s: got slicing %v, want %v", i, step.requestsPerSecond, isSlicing, step.want)
 		}
 	}
 }
--- a/pkg/slicer/peer.go
+++ b/pkg/slicer/peer.go
@@ -1,59 +1,60 @@
-// Peer is what an instance knows of another one that gathers shards for it. The
-// load pattern: one of the gatherers of a data centre is killed, frozen, cut
-// off or stopped, while every query of the data centre needs its shards.
+// Every query of a data centre needs the shards of all its gatherers. If one of
+// them crashes, hangs, is cut off or shuts down, queries must stop using it quickly
+// and resume once it has recovered.
 
 package slicer
 
 import "time"
 
 const (
-	// reportSlack is added to the usual time until a report: two hiccups of the processor.
-	reportSlack = 8 * time.Millisecond
-	// reportFactor bounds the time until a report in usual long ones.
+	// reportMargin is added to the time that is waited for a report and covers two scheduling delays.
+	reportMargin = 8 * time.Millisecond
+	// reportFactor times the 98th percentile of report times is waited for a report.
 	reportFactor = 1.5
-	// retryFirst and retryLongest bound the pause before an instance that was silent is tried again.
-	retryFirst   = 100 * time.Millisecond
-	retryLongest = 1600 * time.Millisecond
+	// minBackoff and maxBackoff bound the time until an unavailable instance is probed again.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 1600 * time.Millisecond
 )
 
-// Peer is one instance; it belongs to one lock.
+// Peer tracks the availability of one gathering instance and requires external locking.
 type Peer struct {
-	silent  bool
-	pause   time.Duration
-	retryAt time.Duration
+	isUnavailable bool
+	backoff       time.Duration
+	probeAt       time.Duration
 }
 
-// Usable tells whether queries may be handed to the instance.
-func (p *Peer) Usable() bool { return !p.silent }
+// IsAvailable reports whether slices may be sent to the instance.
+func (p *Peer) IsAvailable() bool { return !p.isUnavailable }
 
-// OnReport notes that the instance reported; its next silence counts less than the last one.
-func (p *Peer) OnReport() { p.pause /= 2 }
+// OnReport records a report in time and halves the backoff that the next failure starts from.
+func (p *Peer) OnReport() { p.backoff /= 2 }
 
-// OnBack notes that the instance takes slices again. One that is slow answers that and is silent again: only reports make its
-// next pause shorter.
-func (p *Peer) OnBack() { p.silent = false }
+// OnRecovery records that the instance accepts slices again. The backoff is kept: a slow instance answers the probe and then
+// fails again, so only reports shorten it.
+func (p *Peer) OnRecovery() { p.isUnavailable = false }
 
-// OnSilence notes that the instance did not report in time, failed or is leaving, and tells whether that is news.
-func (p *Peer) OnSilence(now time.Duration) bool {
-	news := !p.silent
-	p.silent = true
-	p.pause = min(retryLongest, max(retryFirst, 2*p.pause))
-	p.retryAt = now + p.pause
-	return news
+// OnFailure records that the instance did not report in time, failed or is shutting down, and reports whether it was available
+// until now.
+func (p *Peer) OnFailure(now time.Duration) bool {
+	wasAvailable := !p.isUnavailable
+	p.isUnavailable = true
+	p.backoff = min(maxBackoff, max(minBackoff, 2*p.backoff))
+	p.probeAt = now + p.backoff
+	return wasAvailable
 }
 
-// Doubt takes another instance's word that this one is silent: it is asked at once whether it takes slices, and gets none
-// until it says so.
-func (p *Peer) Doubt(now time.Duration) {
-	p.silent = true
-	p.retryAt = now
+// Suspect marks the instance as unavailable because another instance found it so; it is probed at once and gets no slices until
+// it accepts them again.
+func (p *Peer) Suspect(now time.Duration) {
+	p.isUnavailable = true
+	p.probeAt = now
 }
 
-// MayTry tells whether a silent instance should be asked now whether it is back.
-func (p *Peer) MayTry(now time.Duration) bool { return p.silent && now >= p.retryAt }
+// ShouldProbe reports whether the instance is unavailable and due to be probed.
+func (p *Peer) ShouldProbe(now time.Duration) bool { return p.isUnavailable && now >= p.probeAt }
 
-// Patience returns how long an instance may take to report, where 98 of 100 reports take the given time at most; latest is
-// when it is too late to ask the leafs instead.
-func Patience(usual, latest time.Duration) time.Duration {
-	return max(reportSlack, min(time.Duration(reportFactor*float64(usual))+reportSlack, latest))
+// ReportTimeout returns how long to wait for the report of an instance, given the 98th percentile of report times. It is at
+// most latest, after which it is too late to ask the leafs directly, but no less than a fixed margin.
+func ReportTimeout(p98, latest time.Duration) time.Duration {
+	return max(reportMargin, min(time.Duration(reportFactor*float64(p98))+reportMargin, latest))
 }
--- a/pkg/slicer/plan.go
+++ b/pkg/slicer/plan.go
@@ -1,7 +1,7 @@
-// A plan gives each shard of the queries an instance that gathers it, for all
-// instances of a data centre. Every instance works the plan out by itself, from
-// the members and the leafs that it knows; where two of them differ for a
-// moment, a shard is gathered at either place:
+// A plan assigns the shards of queries to gathering instances, for all instances
+// of one data centre. Every instance computes the plan on its own from the
+// members and leafs that it knows. While the views of two instances differ, a
+// shard may be gathered at different instances:
 //
 //	data centre a, 56 instances   customs-desk-17 -> a-front-3, then a-front-41
 //	data centre d, no leaf        customs-desk-17 -> b-front-9, then c-front-2
@@ -16,17 +16,17 @@
 )
 
 const (
-	// shardsPerInstance is how many shards one instance gathers for its data centre at least: each slice costs a call between
-	// instances, of about the processor time of three requests to leafs.
+	// shardsPerInstance is the least number of shards that one instance gathers for its data centre: each slice costs a call
+	// between instances, which takes about as much processor time as three requests to leafs.
 	shardsPerInstance = 12
-	// leastInstances is the number of instances of a data centre from which on shards are gathered in slices: with fewer of
-	// them each asks every leaf several times a second and keeps its own connections.
-	leastInstances = 8
-	// spareShards is how many shards beyond an even share an instance may gather, so that few of them move when instances
-	// come and go.
-	spareShards = 2
-	// choices is how many instances may gather a shard, the usual one first.
-	choices = 2
+	// minInstances is the size of a data centre, in instances, from which shards are gathered in slices: in a smaller one each
+	// instance asks every leaf several times per second and keeps its own connections.
+	minInstances = 8
+	// shardSlack is the number of shards beyond an even share that an instance may gather, so that few shards move when
+	// instances join or leave.
+	shardSlack = 2
+	// gatherersPerShard is the number of instances that may gather a shard: the primary and a backup.
+	gatherersPerShard = 2
 )
 
 type (
@@ -36,55 +36,58 @@
 		DataCentre string
 	}
 
-	// Shard is a service with the data centres in which it has a leaf that takes work.
+	// Shard is a shard, named by its service, with the data centres in which it has a leaf that accepts requests.
 	Shard struct {
 		Service     string
 		DataCentres []string
 	}
 
-	// Plan is who gathers the shards, for the instances of one data centre.
+	// Plan maps the shards to their gatherers for the instances of one data centre.
 	Plan struct {
 		gatherers map[string][]string
 	}
 )
 
-// New returns the plan of the instances of a data centre.
+// New computes the plan for the instances of a data centre; the plan has no gatherers if the data centre has too few instances
+// for slices.
 func New(members []Member, shards []Shard, dataCentre string) Plan {
-	byCentre := make(map[string][]string)
+	byDataCentre := make(map[string][]string)
 	for _, member := range members {
-		byCentre[member.DataCentre] = append(byCentre[member.DataCentre], member.Instance)
+		byDataCentre[member.DataCentre] = append(byDataCentre[member.DataCentre], member.Instance)
 	}
 	plan := Plan{gatherers: make(map[string][]string, len(shards))}
-	if len(byCentre[dataCentre]) < leastInstances {
+	if len(byDataCentre[dataCentre]) < minInstances {
 		return plan
 	}
-	places := placesOf(shards, dataCentre)
-	for place, services := range servicesByPlace(shards) {
-		if instances := byCentre[place]; len(instances) >= leastInstances {
-			plan.add(place, assign(chosen(instances, len(services)), services), places)
+	centres := gatheringCentres(shards, dataCentre)
+	for centre, services := range servicesByDataCentre(shards) {
+		if instances := byDataCentre[centre]; len(instances) >= minInstances {
+			plan.add(centre, assign(selectGatherers(instances, len(services)), services), centres)
 		}
 	}
 	return plan
 }
 
-// Made tells whether the plan was worked out.
-func (p Plan) Made() bool { return p.gatherers != nil }
+// IsComputed reports whether the plan was computed, as opposed to the zero value.
+func (p Plan) IsComputed() bool { return p.gatherers != nil }
 
-// Gatherers returns the instances that may gather a shard, the usual one first; none where each instance asks the leafs itself.
+// Gatherers returns the instances that may gather a shard, the primary first, or none if each instance asks the leafs
+// directly.
 func (p Plan) Gatherers(service string) []string { return p.gatherers[service] }
 
-// Gathers tells whether the instance is the usual gatherer of a shard.
-func (p Plan) Gathers(instance, service string) bool {
+// IsPrimary reports whether the instance is the primary gatherer of a shard.
+func (p Plan) IsPrimary(instance, service string) bool {
 	gatherers := p.gatherers[service]
 	return len(gatherers) > 0 && gatherers[0] == instance
 }
 
-// add takes the gatherers of one data centre for those shards that are gathered there.
-func (p Plan) add(place string, assigned map[string][]string, places map[string][]string) {
+// add records the assignments made in one data centre for the shards that are gathered there; centres holds the data centres
+// of each shard in order of preference.
+func (p Plan) add(centre string, assigned map[string][]string, centres map[string][]string) {
 	for service, instances := range assigned {
-		switch rank := slices.Index(places[service], place); {
+		switch rank := slices.Index(centres[service], centre); {
 		case rank < 0:
-		case len(places[service]) == 1:
+		case len(centres[service]) == 1:
 			p.gatherers[service] = instances
 		case rank == 0:
 			p.gatherers[service] = slices.Insert(p.gatherers[service], 0, instances[0])
@@ -94,57 +97,58 @@
 	}
 }
 
-// placesOf returns the data centres in which each shard is gathered: the own one where it has a leaf, else two of those that
-// have one, so that the loss of one is no gap.
-func placesOf(shards []Shard, dataCentre string) map[string][]string {
-	places := make(map[string][]string, len(shards))
+// gatheringCentres returns the data centres in which each shard is gathered: the local one if it has a leaf of the shard,
+// otherwise two that have one, so that the shard remains covered if one of them fails.
+func gatheringCentres(shards []Shard, dataCentre string) map[string][]string {
+	centres := make(map[string][]string, len(shards))
 	for _, shard := range shards {
 		if slices.Contains(shard.DataCentres, dataCentre) {
-			places[shard.Service] = []string{dataCentre}
+			centres[shard.Service] = []string{dataCentre}
 			continue
 		}
-		ranked := ranking(shard.Service, shard.DataCentres)
-		places[shard.Service] = ranked[:min(choices, len(ranked))]
+		ranked := rankByHash(shard.Service, shard.DataCentres)
+		centres[shard.Service] = ranked[:min(gatherersPerShard, len(ranked))]
 	}
-	return places
+	return centres
 }
 
-func servicesByPlace(shards []Shard) map[string][]string {
+func servicesByDataCentre(shards []Shard) map[string][]string {
 	services := make(map[string][]string)
 	for _, shard := range shards {
-		for _, place := range shard.DataCentres {
-			services[place] = append(services[place], shard.Service)
+		for _, dataCentre := range shard.DataCentres {
+			services[dataCentre] = append(services[dataCentre], shard.Service)
 		}
 	}
 	return services
 }
 
-// chosen returns the instances of a data centre that gather its shards. They are the same ones whatever the shards are, but
-// for their number.
-func chosen(instances []string, shards int) []string {
+// selectGatherers returns the instances of a data centre that gather its shards. The selection depends on the number of
+// shards, but not on which shards they are.
+func selectGatherers(instances []string, shards int) []string {
 	count := (shards + shardsPerInstance - 1) / shardsPerInstance
-	ranked := ranking("", instances)
-	return ranked[:min(len(ranked), max(choices, count))]
+	ranked := rankByHash("", instances)
+	return ranked[:min(len(ranked), max(gatherersPerShard, count))]
 }
 
-// assign gives each service its gatherers by rendezvous hashing; an instance that has its share passes further ones on.
+// assign assigns gatherers to each service by rendezvous hashing. An instance at its load limit is passed over as the primary
+// in favour of the next one below the limit.
 func assign(instances, services []string) map[string][]string {
-	limit := (len(services)+len(instances)-1)/len(instances) + spareShards
+	limit := (len(services)+len(instances)-1)/len(instances) + shardSlack
 	load := make(map[string]int, len(instances))
 	assigned := make(map[string][]string, len(services))
 	sorted := slices.Sorted(slices.Values(services))
 	for _, service := range sorted {
-		ranked := ranking(service, instances)
+		ranked := rankByHash(service, instances)
 		first := slices.IndexFunc(ranked, func(instance string) bool { return load[instance] < limit })
 		load[ranked[first]]++
 		ranked[0], ranked[first] = ranked[first], ranked[0]
-		assigned[service] = ranked[:min(choices, len(ranked))]
+		assigned[service] = ranked[:min(gatherersPerShard, len(ranked))]
 	}
 	return assigned
 }
 
-// ranking orders names by their hash with the key.
-func ranking(key string, names []string) []string {
+// rankByHash returns the names in descending order of their hash with the key, as in rendezvous hashing.
+func rankByHash(key string, names []string) []string {
 	type ranked struct {
 		name  string
 		score uint64
@@ -156,9 +160,9 @@
 	slices.SortFunc(scored, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
 	})
-	sorted := make([]string, 0, len(names))
+	ordered := make([]string, 0, len(names))
 	for _, r := range scored {
-		sorted = append(sorted, r.name)
+		ordered = append(ordered, r.name)
 	}
-	return sorted
+	return ordered
 }
--- a/pkg/slicer/plan_test.go
+++ b/pkg/slicer/plan_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// fleet returns instances in the data centres of the large deployment, and shards with a leaf in three of them.
+// fleet returns the given numbers of instances by data centre, and shards with a leaf in each of the data centres a, b and c.
 func fleet(counts map[string]int, shards int) ([]Member, []Shard) {
 	var members []Member
-	for centre, count := range counts {
+	for dataCentre, count := range counts {
 		for i := range count {
-			members = append(members, Member{Instance: fmt.Sprintf("front-%s-%d", centre, i), DataCentre: centre})
+			members = append(members, Member{Instance: fmt.Sprintf("front-%s-%d", dataCentre, i), DataCentre: dataCentre})
 		}
 	}
 	var list []Shard
@@ -22,15 +22,15 @@
 	return members, list
 }
 
-var large = map[string]int{"a": 56, "b": 52, "c": 68, "d": 65, "e": 54}
+var largeFleet = map[string]int{"a": 56, "b": 52, "c": 68, "d": 65, "e": 54}
 
-func centreOf(instance string) string { return instance[len("front-") : len("front-")+1] }
+func dataCentreOf(instance string) string { return instance[len("front-") : len("front-")+1] }
 
-func TestEachShardIsGatheredBesideItsLeafs(t *testing.T) {
-	members, shards := fleet(large, 180)
+func TestGatherersAreInDataCentresWithLeaf(t *testing.T) {
+	members, shards := fleet(largeFleet, 180)
 	cases := []struct {
-		dataCentre string
-		own        bool
+		dataCentre   string
+		hasLocalLeaf bool
 	}{
 		{"a", true},
 		{"c", true},
@@ -40,145 +40,146 @@
 		plan := New(members, shards, c.dataCentre)
 		for _, shard := range shards {
 			gatherers := plan.Gatherers(shard.Service)
-			if len(gatherers) != choices || gatherers[0] == gatherers[1] {
-				t.Fatalf("%s: gatherers %v of %s", c.dataCentre, gatherers, shard.Service)
+			if len(gatherers) != gatherersPerShard || gatherers[0] == gatherers[1] {
+				t.Fatalf("%s: got gatherers %v of %s, want two different ones", c.dataCentre, gatherers, shard.Service)
 			}
-			first, second := centreOf(gatherers[0]), centreOf(gatherers[1])
-			if c.own && (first != c.dataCentre || second != c.dataCentre) {
-				t.Errorf("%s: %s is gathered at %v, although it has a leaf here", c.dataCentre, shard.Service, gatherers)
+			first, second := dataCentreOf(gatherers[0]), dataCentreOf(gatherers[1])
+			if c.hasLocalLeaf && (first != c.dataCentre || second != c.dataCentre) {
+				t.Errorf("%s: %s is gathered at %v, want local instances, as it has a local leaf", c.dataCentre, shard.Service, gatherers)
 			}
-			if !c.own && (!slices.Contains(shard.DataCentres, first) || first == second) {
-				t.Errorf("%s: %s is gathered at %v, want two data centres with a leaf", c.dataCentre, shard.Service, gatherers)
+			if !c.hasLocalLeaf && (!slices.Contains(shard.DataCentres, first) || first == second) {
+				t.Errorf("%s: %s is gathered at %v, want instances in two data centres with a leaf", c.dataCentre, shard.Service, gatherers)
 			}
 		}
 	}
 }
 
-// A data centre asks for a shard at the same instance wherever it is asked from, so that few instances ask each leaf.
-func TestFewInstancesAskALeaf(t *testing.T) {
-	members, shards := fleet(large, 180)
-	asking := map[string]map[string]bool{}
-	for centre := range large {
-		plan := New(members, shards, centre)
+// The gatherer of a shard in a data centre must be the same for the instances of all data centres, so that few instances ask
+// each leaf.
+func TestDataCentresShareGatherers(t *testing.T) {
+	members, shards := fleet(largeFleet, 180)
+	primaries := map[string]map[string]bool{}
+	for dataCentre := range largeFleet {
+		plan := New(members, shards, dataCentre)
 		for _, shard := range shards {
-			if asking[shard.Service] == nil {
-				asking[shard.Service] = map[string]bool{}
+			if primaries[shard.Service] == nil {
+				primaries[shard.Service] = map[string]bool{}
 			}
-			asking[shard.Service][plan.Gatherers(shard.Service)[0]] = true
+			primaries[shard.Service][plan.Gatherers(shard.Service)[0]] = true
 		}
 	}
-	for service, instances := range asking {
+	for service, instances := range primaries {
 		if len(instances) > 3 {
-			t.Errorf("%s is gathered by %d instances, want one for each data centre with a leaf", service, len(instances))
+			t.Errorf("%s has %d primary gatherers, want at most one for each of the 3 data centres with a leaf", service, len(instances))
 		}
 	}
 }
 
-func TestSlicesAreEven(t *testing.T) {
-	for _, count := range []int{90, 135, 180, 450} {
-		members, shards := fleet(large, count)
+func TestShardsAreSpreadEvenly(t *testing.T) {
+	for _, shardCount := range []int{90, 135, 180, 450} {
+		members, shards := fleet(largeFleet, shardCount)
 		plan := New(members, shards, "a")
 		load := map[string]int{}
 		for _, shard := range shards {
 			load[plan.Gatherers(shard.Service)[0]]++
 		}
 		for instance, n := range load {
-			if n > shardsPerInstance+spareShards {
-				t.Errorf("%d shards: %s gathers %d", count, instance, n)
+			if n > shardsPerInstance+shardSlack {
+				t.Errorf("%d shards: %s gathers %d, want at most shardsPerInstance + shardSlack", shardCount, instance, n)
 			}
 		}
 	}
 }
 
-func TestSmallFleetsAskThemselves(t *testing.T) {
+func TestSmallFleetHasNoGatherers(t *testing.T) {
 	members, shards := fleet(map[string]int{"a": 3, "b": 2, "c": 2}, 20)
 	if gatherers := New(members, shards, "a").Gatherers("shard-1"); len(gatherers) != 0 {
-		t.Errorf("gatherers %v of a small fleet", gatherers)
+		t.Errorf("got gatherers %v in a small fleet, want none", gatherers)
 	}
 }
 
-// Stopping one instance after the other moves the shards of that one, and few others.
-func TestALostInstanceMovesFewShards(t *testing.T) {
-	members, shards := fleet(large, 180)
+// When instances are stopped one after the other, each stop must move the shards of that instance and few others.
+func TestRemovedInstanceMovesFewShards(t *testing.T) {
+	members, shards := fleet(largeFleet, 180)
 	before := New(members, shards, "a")
-	lost := before.Gatherers("shard-0")[0]
-	after := New(slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Instance == lost }), shards, "a")
+	removed := before.Gatherers("shard-0")[0]
+	after := New(slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Instance == removed }), shards, "a")
 	moved := 0
 	for _, shard := range shards {
-		was, is := before.Gatherers(shard.Service)[0], after.Gatherers(shard.Service)[0]
-		if is == lost {
-			t.Errorf("%s is still gathered by the lost instance", shard.Service)
+		oldPrimary, newPrimary := before.Gatherers(shard.Service)[0], after.Gatherers(shard.Service)[0]
+		if newPrimary == removed {
+			t.Errorf("%s is still gathered by the removed instance", shard.Service)
 		}
-		if was != lost && was != is {
+		if oldPrimary != removed && oldPrimary != newPrimary {
 			moved++
 		}
 	}
 	if moved > 30 {
-		t.Errorf("%d shards of other instances moved", moved)
+		t.Errorf("%d shards of other instances moved, want at most 30", moved)
 	}
 }
 
-func TestSilentInstanceIsLeftOutAndTriedAgain(t *testing.T) {
+func TestFailedPeerIsProbedWithBackoff(t *testing.T) {
 	var p Peer
-	if !p.Usable() || !p.OnSilence(time.Second) || p.Usable() {
-		t.Fatal("a silent instance is usable")
+	if !p.IsAvailable() || !p.OnFailure(time.Second) || p.IsAvailable() {
+		t.Fatal("want the peer available at first, the failure reported as a change, and the peer unavailable after it")
 	}
-	if p.MayTry(time.Second + retryFirst - 1) {
-		t.Error("tried again too soon")
+	if p.ShouldProbe(time.Second + minBackoff - 1) {
+		t.Error("probe is due before the minimum backoff has passed")
 	}
-	if !p.MayTry(time.Second + retryFirst) {
-		t.Error("not tried again")
+	if !p.ShouldProbe(time.Second + minBackoff) {
+		t.Error("probe is not due after the minimum backoff")
 	}
-	if p.OnSilence(2 * time.Second) {
-		t.Error("a second silence is news")
+	if p.OnFailure(2 * time.Second) {
+		t.Error("second failure in a row is reported as a change, want it not reported")
 	}
-	if p.MayTry(2*time.Second + 2*retryFirst - 1) {
-		t.Error("the pause does not grow")
+	if p.ShouldProbe(2*time.Second + 2*minBackoff - 1) {
+		t.Error("probe is due before the doubled backoff has passed")
 	}
-	p.OnBack()
-	if !p.Usable() || p.MayTry(time.Hour) {
-		t.Error("an instance that is back is not usable")
+	p.OnRecovery()
+	if !p.IsAvailable() || p.ShouldProbe(time.Hour) {
+		t.Error("recovered instance is unavailable or due to be probed, want it available and no probe")
 	}
-	p.OnSilence(3 * time.Second)
-	if p.MayTry(3*time.Second + 4*retryFirst - 1) {
-		t.Error("an instance that is silent again at once is tried as soon as before")
+	p.OnFailure(3 * time.Second)
+	if p.ShouldProbe(3*time.Second + 4*minBackoff - 1) {
+		t.Error("probe after a failure without reports in between is due before four times the minimum backoff")
 	}
-	p.OnBack()
+	p.OnRecovery()
 	for range 10 {
 		p.OnReport()
 	}
-	p.OnSilence(4 * time.Second)
-	if !p.MayTry(4*time.Second + retryFirst) {
-		t.Error("ten reports do not make the pause short again")
+	p.OnFailure(4 * time.Second)
+	if !p.ShouldProbe(4*time.Second + minBackoff) {
+		t.Error("probe is not due after the minimum backoff, although ten reports came before the failure")
 	}
 }
 
-func TestADoubtedInstanceIsTriedAtOnce(t *testing.T) {
+func TestSuspectedPeerIsProbedImmediately(t *testing.T) {
 	var p Peer
-	p.Doubt(time.Second)
-	if p.Usable() || !p.MayTry(time.Second) {
-		t.Fatal("an instance that others found silent is used, or not tried at once")
+	p.Suspect(time.Second)
+	if p.IsAvailable() || !p.ShouldProbe(time.Second) {
+		t.Fatal("suspected instance is available or not due to be probed, want it unavailable and probed at once")
 	}
-	p.OnBack()
-	p.OnSilence(2 * time.Second)
-	if !p.MayTry(2*time.Second + retryFirst) {
-		t.Error("a doubt makes the next pause longer")
+	p.OnRecovery()
+	p.OnFailure(2 * time.Second)
+	if !p.ShouldProbe(2*time.Second + minBackoff) {
+		t.Error("probe is not due after the minimum backoff, want suspicion to leave the backoff unchanged")
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestReportTimeout(t *testing.T) {
 	cases := []struct {
-		name          string
-		usual, latest time.Duration
-		want          time.Duration
+		name        string
+		p98, latest time.Duration
+		want        time.Duration
 	}{
-		{"usual", 20 * time.Millisecond, 100 * time.Millisecond, 38 * time.Millisecond},
-		{"bounded by the objective", 80 * time.Millisecond, 40 * time.Millisecond, 40 * time.Millisecond},
-		{"no time is left", 20 * time.Millisecond, -time.Second, reportSlack},
+		{"p98 plus margin", 20 * time.Millisecond, 100 * time.Millisecond, 38 * time.Millisecond},
+		{"limited by the latest time", 80 * time.Millisecond, 40 * time.Millisecond, 40 * time.Millisecond},
+		{"no time left for direct requests", 20 * time.Millisecond, -time.Second, reportMargin},
 	}
 	for _, c := range cases {
-		if got := Patience(c.usual, c.latest); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		if got := ReportTimeout(c.p98, c.latest); got != c.want {
+			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/pkg/steward/entry.go
+++ b/pkg/steward/entry.go
@@ -71,7 +71,7 @@
 	e.peers = aggregator.NewPeers(linker.New(secret), e.now, log)
 	e.gate = gatekeeper.New(gatekeeper.Config{
 		Headers: headers, Instance: settings.Instance, DataCentre: settings.DataCentre, CallerRoundTrip: callerTravel, BodyMemoryBytes: settings.heldBytes(),
-		Budget: hedger.SharedBound{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow},
+		Budget: hedger.RetryLimit{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow},
 		Decode: func(version uint64, packed []byte) (*router.Table, error) {
 			return decodePacked(decode, version, packed)
 		},
