--- a/pkg/admitter/doc.go
+++ b/pkg/admitter/doc.go
@@ -1,2 +1,3 @@
-// Package admitter decides, for one leaf, which requests are sent now, which wait and which are refused.
+// Package admitter limits the requests that are sent to one leaf: each request is sent, queued or refused, depending on
+// the warm-up limit of the leaf, its queue and the overload threshold.
 package admitter
--- a/pkg/admitter/leaf.go
+++ b/pkg/admitter/leaf.go
@@ -1,7 +1,7 @@
-// Leaf is the admission state of one leaf at its owner. It never lets more
-// requests run than the warm-up limit and the slots of the row allow, and it
-// counts a request as running until the leaf answered or can no longer be
-// running it.
+// Admission control for one leaf. The number of requests in flight is bounded
+// by the warm-up limit and by the slots configured for the leaf. A request
+// without an answer occupies its slot until the leaf can no longer be running
+// it.
 
 package admitter
 
@@ -11,53 +11,59 @@
 )
 
 const (
-	// RefusedNone means that the item was taken.
-	RefusedNone Refusal = ""
-	// RefusedQueueFull means that the queue has no room.
+	// NotRefused means that the request was accepted.
+	NotRefused Refusal = ""
+	// RefusedQueueFull means that the queue is full.
 	RefusedQueueFull Refusal = "queue-full"
-	// RefusedTooLate means that the item could not be answered before its deadline.
-	RefusedTooLate Refusal = "deadline-too-near"
-	// RefusedResting means that nothing is sent to the leaf for a while after it refused or broke off.
-	RefusedResting Refusal = "leaf-resting"
-	// RefusedPriority means that the overload threshold is above the priority of the item.
+	// RefusedDeadline means that the request cannot be answered before its deadline.
+	RefusedDeadline Refusal = "deadline-too-near"
+	// RefusedBackoff means that the leaf is in backoff after it shed a request or its connection failed.
+	RefusedBackoff Refusal = "leaf-resting"
+	// RefusedPriority means that the priority of the request is below the overload threshold.
 	RefusedPriority Refusal = "overloaded"
-	// RefusedCold means that a hedge was meant for a leaf that is cold or resting.
+	// RefusedCold means that the request is a hedge and the leaf is cold or in backoff.
 	RefusedCold Refusal = "leaf-cold"
-	// RefusedBusy means that a hedge would have had to wait.
+	// RefusedBusy means that the request is a hedge and would have to wait in the queue.
 	RefusedBusy Refusal = "leaf-busy"
 )
 
 const (
-	queuePerSlot      = 32
-	thresholdWindow   = 100 * time.Millisecond
-	thresholdUp       = 0.05
-	thresholdDown     = 0.02
-	refusedCountsAs   = 2
-	thresholdHighest  = 0.95
+	queueLengthPerSlot = 32
+	thresholdWindow    = 100 * time.Millisecond
+	thresholdIncrease  = 0.05
+	thresholdDecrease  = 0.02
+	// refusedWaitTargets is the wait, in multiples of the target, that a refused request adds to the average.
+	refusedWaitTargets = 2
+	maxThreshold       = 0.95
+	// waitTargetDivisor makes the target wait in the queue a quarter of a request's timeout.
 	waitTargetDivisor = 4
-	waitTargetLowest  = 5 * time.Millisecond
-	lateGrace         = 250 * time.Millisecond
+	minWaitTarget     = 5 * time.Millisecond
+	// deadlineGrace is how long after its deadline a request without an answer still occupies its slot.
+	deadlineGrace = 250 * time.Millisecond
 )
 
 type (
-	// Refusal is why an item was not taken; the leaf has not received it.
+	// Refusal is the reason why a request was not accepted; the leaf has not received it.
 	Refusal string
 
-	// Option sets up a Leaf.
-	Option func(*Leaf)
+	// Option configures an Admitter.
+	Option func(*Admitter)
 
-	// Leaf decides what one leaf receives; it belongs to one goroutine.
-	Leaf struct {
-		slots     int
-		queue     *queue
-		warmUp    *warmUp
-		running   map[uint64]running
-		phantoms  []time.Duration
-		threshold threshold
-		deadline  time.Duration
+	// Admitter decides which requests one leaf receives; it is not safe for concurrent use.
+	Admitter struct {
+		slots    int
+		queue    *queue
+		warmUp   *warmUp
+		inFlight map[uint64]inFlightRequest
+		// unconfirmedUntil holds, for each request without an answer that the leaf may still run, the time until which it
+		// occupies a slot.
+		unconfirmedUntil []time.Duration
+		threshold        threshold
+		// lastTimeout is the time that the last accepted request had until its deadline.
+		lastTimeout time.Duration
 	}
 
-	// Outcome is how a request to the leaf ended; it is Answered, Shed, Broken, Restarted, Cancelled or Abandoned.
+	// Outcome is how a request sent to the leaf ended: Answered, Shed, ConnectionFailed, Restarted, Cancelled or TimedOut.
 	Outcome interface {
 		isOutcome()
 	}
@@ -65,296 +71,303 @@
 	// Answered means that the leaf answered.
 	Answered struct{}
 
-	// Shed means that the leaf said it did not start the request.
+	// Shed means that the leaf refused the request without running it.
 	Shed struct{}
 
-	// Broken means that the connection failed before an answer.
-	Broken struct{}
+	// ConnectionFailed means that the connection to the leaf failed before an answer arrived.
+	ConnectionFailed struct{}
 
-	// Restarted means that the leaf answered from a new start of itself.
+	// Restarted means that the leaf answered and has restarted since its previous answer.
 	Restarted struct{}
 
-	// Cancelled means that the leaf stopped the request when told to, or answered without running it.
+	// Cancelled means that the request was cancelled or not run, which says nothing about the leaf's capacity.
 	Cancelled struct{}
 
-	// Abandoned means that the deadline passed without an answer.
-	Abandoned struct{}
+	// TimedOut means that the deadline passed before an answer arrived.
+	TimedOut struct{}
 
-	// Condition is what an owner reports of a leaf.
+	// Condition is the admission state of a leaf, as its owner reports it to other instances.
 	Condition struct {
-		Limit     float64
-		Slots     int
-		Running   int
-		Queued    int
-		Latency   time.Duration
-		Threshold float64
-		Resting   bool
-		Cold      bool
-		ClosedAt  time.Duration
-		Reason    string
+		Limit            float64
+		Slots            int
+		Running          int
+		Queued           int
+		Latency          time.Duration
+		Threshold        float64
+		InBackoff        bool
+		IsCold           bool
+		LimitResetAt     time.Duration
+		LimitResetReason string
 	}
 
-	running struct {
-		item    Item
-		started time.Duration
+	inFlightRequest struct {
+		request   Request
+		startedAt time.Duration
 	}
 
 	threshold struct {
-		value      float64
-		windowEnd  time.Duration
-		waits      time.Duration
-		dispatched int
-		refused    int
+		value     float64
+		windowEnd time.Duration
+		totalWait time.Duration
+		dequeued  int
+		refused   int
 	}
 )
 
-func (Answered) isOutcome()  {}
-func (Shed) isOutcome()      {}
-func (Broken) isOutcome()    {}
-func (Restarted) isOutcome() {}
-func (Cancelled) isOutcome() {}
-func (Abandoned) isOutcome() {}
+func (Answered) isOutcome()         {}
+func (Shed) isOutcome()             {}
+func (ConnectionFailed) isOutcome() {}
+func (Restarted) isOutcome()        {}
+func (Cancelled) isOutcome()        {}
+func (TimedOut) isOutcome()         {}
 
-// WithGrowth sets how the limit opens.
+// WithGrowth sets how the warm-up limit grows; the default is AdditiveGrowth.
 func WithGrowth(growth Growth) Option {
-	return func(l *Leaf) { l.warmUp.growth = growth }
+	return func(a *Admitter) { a.warmUp.growth = growth }
 }
 
-// WithInherited starts from what the former owner handed over.
-func WithInherited(limit float64, latency time.Duration, runningNow int, until time.Duration) Option {
-	return func(l *Leaf) {
-		l.warmUp.limit = max(lowestLimit, min(limit, float64(l.slots)))
-		l.warmUp.baseline = latency
-		l.warmUp.reason = "handed over"
-		for range runningNow {
-			l.phantoms = append(l.phantoms, until)
+// WithHandover starts with the state that the previous owner handed over: its warm-up limit, the usual latency of the
+// leaf, and the number of requests that may run until the given time.
+func WithHandover(limit float64, latency time.Duration, inFlight int, until time.Duration) Option {
+	return func(a *Admitter) {
+		a.warmUp.limit = max(minLimit, min(limit, float64(a.slots)))
+		a.warmUp.baseline = latency
+		a.warmUp.resetReason = "handed over"
+		for range inFlight {
+			a.unconfirmedUntil = append(a.unconfirmedUntil, until)
 		}
 	}
 }
 
-// New returns the admission state of a cold leaf with the given slots.
-func New(slots int, now time.Duration, options ...Option) *Leaf {
-	leaf := &Leaf{
-		slots: slots, queue: newQueue(), warmUp: newWarmUp(AdditiveGrowth{}, now), running: map[uint64]running{},
+// New returns an Admitter for a leaf with the given number of slots; its warm-up limit starts at one.
+func New(slots int, now time.Duration, options ...Option) *Admitter {
+	admitter := &Admitter{
+		slots: slots, queue: newQueue(), warmUp: newWarmUp(AdditiveGrowth{}, now), inFlight: map[uint64]inFlightRequest{},
 	}
 	for _, option := range options {
-		option(leaf)
+		option(admitter)
 	}
-	return leaf
+	return admitter
 }
 
-// SetSlots changes the slots of the row.
-func (l *Leaf) SetSlots(slots int) {
-	l.slots = slots
-	l.warmUp.limit = min(l.warmUp.limit, float64(slots))
+// SetSlots changes the number of slots.
+func (a *Admitter) SetSlots(slots int) {
+	a.slots = slots
+	a.warmUp.limit = min(a.warmUp.limit, float64(slots))
 }
 
-// Offer takes an item into the queue, or says why not.
-func (l *Leaf) Offer(item Item, now time.Duration) Refusal {
-	refusal := l.judge(item, now)
-	if refusal != RefusedNone {
-		l.threshold.onRefused(refusal)
+// Offer adds a request to the queue, or returns the reason for its refusal.
+func (a *Admitter) Offer(request Request, now time.Duration) Refusal {
+	refusal := a.check(request, now)
+	if refusal != NotRefused {
+		a.threshold.onRefused(refusal)
 		return refusal
 	}
-	l.deadline = item.Deadline - now
-	l.queue.push(item, now)
-	return RefusedNone
+	a.lastTimeout = request.Deadline - now
+	a.queue.push(request, now)
+	return NotRefused
 }
 
-// Next returns the item to send now, if any, with the time it waited.
-func (l *Leaf) Next(now time.Duration) (Item, time.Duration, bool) {
-	l.checkRunning(now)
-	if l.warmUp.resting(now) || l.busy(now) >= l.limit() {
-		return Item{}, 0, false
+// Next returns the request to send now, if any, and how long it waited in the queue.
+func (a *Admitter) Next(now time.Duration) (Request, time.Duration, bool) {
+	a.checkInFlight(now)
+	if a.warmUp.inBackoff(now) || a.occupiedSlots(now) >= a.limit() {
+		return Request{}, 0, false
 	}
-	head, ok := l.queue.pop()
+	head, ok := a.queue.pop()
 	if !ok {
-		return Item{}, 0, false
+		return Request{}, 0, false
 	}
-	waited := now - head.offered
-	l.threshold.onDispatched(waited)
-	l.running[head.item.ID] = running{item: head.item, started: now}
-	return head.item, waited, true
+	waited := now - head.enqueuedAt
+	a.threshold.onDequeued(waited)
+	a.inFlight[head.request.ID] = inFlightRequest{request: head.request, startedAt: now}
+	return head.request, waited, true
 }
 
-// Expire removes and returns the queued items that can no longer be answered in time.
-func (l *Leaf) Expire(now time.Duration) []Item {
-	latency := l.warmUp.baseline / 2
-	late := l.queue.removeIf(func(e entry) bool { return now+latency >= e.item.Deadline })
-	items := make([]Item, 0, len(late))
-	for _, e := range late {
-		l.threshold.onDispatched(now - e.offered)
-		items = append(items, e.item)
-	}
-	l.threshold.roll(now, l.waitTarget())
-	return items
+// Expire removes and returns the queued requests that can no longer be answered before their deadline. It also updates
+// the overload threshold.
+func (a *Admitter) Expire(now time.Duration) []Request {
+	latency := a.warmUp.baseline / 2
+	expired := a.queue.removeIf(func(e entry) bool { return now+latency >= e.request.Deadline })
+	requests := make([]Request, 0, len(expired))
+	for _, e := range expired {
+		a.threshold.onDequeued(now - e.enqueuedAt)
+		requests = append(requests, e.request)
+	}
+	a.threshold.update(now, a.waitTarget())
+	return requests
 }
 
-// Withdraw removes a queued item and tells whether it was still queued.
-func (l *Leaf) Withdraw(id uint64) bool {
-	_, ok := l.queue.remove(id)
+// Remove removes a request from the queue and reports whether it was still queued.
+func (a *Admitter) Remove(id uint64) bool {
+	_, ok := a.queue.remove(id)
 	return ok
 }
 
-// Flush removes and returns all queued items.
-func (l *Leaf) Flush() []Item {
-	var items []Item
+// RemoveAll removes and returns all queued requests.
+func (a *Admitter) RemoveAll() []Request {
+	var requests []Request
 	for {
-		head, ok := l.queue.pop()
+		head, ok := a.queue.pop()
 		if !ok {
-			return items
+			return requests
 		}
-		items = append(items, head.item)
+		requests = append(requests, head.request)
 	}
 }
 
-// Done records how the request with the given id ended.
-func (l *Leaf) Done(id uint64, outcome Outcome, now time.Duration) {
-	request, ok := l.running[id]
+// Done records how a sent request ended; an unknown id is ignored.
+func (a *Admitter) Done(id uint64, outcome Outcome, now time.Duration) {
+	sent, ok := a.inFlight[id]
 	if !ok {
 		return
 	}
-	delete(l.running, id)
+	delete(a.inFlight, id)
 	switch outcome.(type) {
 	case Answered:
-		l.warmUp.onAnswer(now-request.started, now, l.slots)
+		a.warmUp.onAnswer(now-sent.startedAt, now, a.slots)
 	case Restarted:
-		l.warmUp.close(now, "restarted")
+		a.warmUp.reset(now, "restarted")
 	case Shed:
-		l.warmUp.fall(now, "shed")
-	case Broken:
-		l.warmUp.fall(now, "connection broken")
-		l.mayStillRun(request)
-	case Abandoned:
-		l.warmUp.close(now, "no answer")
-		l.mayStillRun(request)
+		a.warmUp.backOff(now, "shed")
+	case ConnectionFailed:
+		a.warmUp.backOff(now, "connection broken")
+		a.reserveSlot(sent)
+	case TimedOut:
+		a.warmUp.reset(now, "no answer")
+		a.reserveSlot(sent)
 	}
 }
 
-// mayStillRun keeps the slot of a request without an answer until the leaf must have given it up.
-func (l *Leaf) mayStillRun(request running) {
-	l.phantoms = append(l.phantoms, request.item.Deadline+lateGrace)
+// reserveSlot keeps the slot of a request without an answer occupied until the leaf must have stopped running it.
+func (a *Admitter) reserveSlot(sent inFlightRequest) {
+	a.unconfirmedUntil = append(a.unconfirmedUntil, sent.request.Deadline+deadlineGrace)
 }
 
-// OnRestart records that the leaf has started again.
-func (l *Leaf) OnRestart(now time.Duration) { l.warmUp.close(now, "restarted") }
+// OnRestart records that the leaf has restarted, which resets the warm-up limit.
+func (a *Admitter) OnRestart(now time.Duration) { a.warmUp.reset(now, "restarted") }
 
-// RunningFor returns the longest time that a request may still run.
-func (l *Leaf) RunningFor(now time.Duration) time.Duration {
+// RemainingRunTime returns how long from now the last of the sent requests may still run at the leaf.
+func (a *Admitter) RemainingRunTime(now time.Duration) time.Duration {
 	var longest time.Duration
-	for _, request := range l.running {
-		longest = max(longest, request.item.Deadline+lateGrace-now)
+	for _, sent := range a.inFlight {
+		longest = max(longest, sent.request.Deadline+deadlineGrace-now)
 	}
-	for _, until := range l.phantoms {
+	for _, until := range a.unconfirmedUntil {
 		longest = max(longest, until-now)
 	}
 	return longest
 }
 
-// Condition returns what others should know of the leaf.
-func (l *Leaf) Condition(now time.Duration) Condition {
+// Condition returns the current admission state of the leaf.
+func (a *Admitter) Condition(now time.Duration) Condition {
 	return Condition{
-		Limit: l.warmUp.limit, Slots: l.slots, Running: l.busy(now), Queued: l.queue.length,
-		Latency: l.warmUp.baseline, Threshold: l.threshold.value, Resting: l.warmUp.resting(now),
-		Cold: l.cold(), ClosedAt: l.warmUp.closedAt, Reason: l.warmUp.reason,
+		Limit: a.warmUp.limit, Slots: a.slots, Running: a.occupiedSlots(now), Queued: a.queue.length,
+		Latency: a.warmUp.baseline, Threshold: a.threshold.value, InBackoff: a.warmUp.inBackoff(now),
+		IsCold: a.isCold(), LimitResetAt: a.warmUp.resetAt, LimitResetReason: a.warmUp.resetReason,
 	}
 }
 
-// Wake returns when Next may have something to send without a further event, or 0.
-func (l *Leaf) Wake(now time.Duration) time.Duration {
-	if l.queue.length == 0 || !l.warmUp.resting(now) {
+// WakeAt returns the time at which the backoff ends if requests are queued behind it, or 0 if Next need not be called
+// before another event.
+func (a *Admitter) WakeAt(now time.Duration) time.Duration {
+	if a.queue.length == 0 || !a.warmUp.inBackoff(now) {
 		return 0
 	}
-	return l.warmUp.restUntil
+	return a.warmUp.backoffUntil
 }
 
-func (l *Leaf) judge(item Item, now time.Duration) Refusal {
-	if item.Hedge {
-		return l.judgeHedge(now)
+func (a *Admitter) check(request Request, now time.Duration) Refusal {
+	if request.IsHedge {
+		return a.checkHedge(now)
 	}
-	if l.warmUp.resting(now) {
-		return RefusedResting
+	if a.warmUp.inBackoff(now) {
+		return RefusedBackoff
 	}
-	if l.queue.length >= queuePerSlot*l.slots {
+	if a.queue.length >= queueLengthPerSlot*a.slots {
 		return RefusedQueueFull
 	}
-	if item.Priority < l.threshold.value {
+	if request.Priority < a.threshold.value {
 		return RefusedPriority
 	}
-	if now+l.expectedWait(item.Caller, now)+l.warmUp.baseline > item.Deadline {
-		return RefusedTooLate
+	if now+a.expectedWait(request.Caller, now)+a.warmUp.baseline > request.Deadline {
+		return RefusedDeadline
 	}
-	return RefusedNone
+	return NotRefused
 }
 
-func (l *Leaf) judgeHedge(now time.Duration) Refusal {
-	if l.cold() || l.warmUp.resting(now) {
+func (a *Admitter) checkHedge(now time.Duration) Refusal {
+	if a.isCold() || a.warmUp.inBackoff(now) {
 		return RefusedCold
 	}
-	if l.queue.length > 0 || l.busy(now) >= l.limit() {
+	if a.queue.length > 0 || a.occupiedSlots(now) >= a.limit() {
 		return RefusedBusy
 	}
-	return RefusedNone
+	return NotRefused
 }
 
-func (l *Leaf) expectedWait(caller string, now time.Duration) time.Duration {
-	ahead := l.queue.ahead(caller) + l.busy(now) - l.limit() + 1
-	return time.Duration(max(0, ahead)) * l.warmUp.baseline / time.Duration(l.limit())
+func (a *Admitter) expectedWait(caller string, now time.Duration) time.Duration {
+	ahead := a.queue.countAhead(caller) + a.occupiedSlots(now) - a.limit() + 1
+	return time.Duration(max(0, ahead)) * a.warmUp.baseline / time.Duration(a.limit())
 }
 
-// checkRunning takes requests that run far longer than usual as evidence of a cold leaf.
-func (l *Leaf) checkRunning(now time.Duration) {
+// checkInFlight resets the limit when several requests in flight already take far longer than usual: the leaf is
+// probably cold.
+func (a *Admitter) checkInFlight(now time.Duration) {
 	slow := 0
-	for _, request := range l.running {
-		if l.warmUp.isSlow(now - request.started) {
+	for _, sent := range a.inFlight {
+		if a.warmUp.isSlow(now - sent.startedAt) {
 			slow++
 		}
 	}
-	if slow >= slowVotesToClose && l.warmUp.limit > lowestLimit {
-		l.warmUp.close(now, "slow running requests")
+	if slow >= slowAnswersToReset && a.warmUp.limit > minLimit {
+		a.warmUp.reset(now, "slow running requests")
 	}
 }
 
-func (l *Leaf) busy(now time.Duration) int {
-	kept := l.phantoms[:0]
-	for _, until := range l.phantoms {
+// occupiedSlots counts the requests that the leaf runs or may still run.
+func (a *Admitter) occupiedSlots(now time.Duration) int {
+	kept := a.unconfirmedUntil[:0]
+	for _, until := range a.unconfirmedUntil {
 		if until > now {
 			kept = append(kept, until)
 		}
 	}
-	l.phantoms = kept
-	return len(l.running) + len(l.phantoms)
+	a.unconfirmedUntil = kept
+	return len(a.inFlight) + len(a.unconfirmedUntil)
 }
 
-func (l *Leaf) limit() int { return max(1, int(math.Floor(l.warmUp.limit))) }
+func (a *Admitter) limit() int { return max(1, int(math.Floor(a.warmUp.limit))) }
 
-func (l *Leaf) cold() bool { return l.limit() < l.slots && l.warmUp.limit <= lowestLimit }
+func (a *Admitter) isCold() bool { return a.limit() < a.slots && a.warmUp.limit <= minLimit }
 
-func (l *Leaf) waitTarget() time.Duration {
-	return max(waitTargetLowest, l.deadline/waitTargetDivisor)
+func (a *Admitter) waitTarget() time.Duration {
+	return max(minWaitTarget, a.lastTimeout/waitTargetDivisor)
 }
 
-func (t *threshold) onDispatched(waited time.Duration) {
-	t.waits += waited
-	t.dispatched++
+func (t *threshold) onDequeued(waited time.Duration) {
+	t.totalWait += waited
+	t.dequeued++
 }
 
 func (t *threshold) onRefused(refusal Refusal) {
-	if refusal == RefusedTooLate || refusal == RefusedQueueFull {
+	if refusal == RefusedDeadline || refusal == RefusedQueueFull {
 		t.refused++
 	}
 }
 
-func (t *threshold) roll(now, target time.Duration) {
+// update raises the threshold at the end of a window in which requests waited longer than the target on average, and
+// lowers it otherwise.
+func (t *threshold) update(now, target time.Duration) {
 	if now < t.windowEnd {
 		return
 	}
-	waits := t.waits + time.Duration(refusedCountsAs*t.refused)*target
-	items := max(1, t.dispatched+t.refused)
-	if waits/time.Duration(items) > target {
-		t.value = min(thresholdHighest, t.value+thresholdUp)
+	waits := t.totalWait + time.Duration(refusedWaitTargets*t.refused)*target
+	requests := max(1, t.dequeued+t.refused)
+	if waits/time.Duration(requests) > target {
+		t.value = min(maxThreshold, t.value+thresholdIncrease)
 	} else {
-		t.value = max(0, t.value-thresholdDown)
+		t.value = max(0, t.value-thresholdDecrease)
 	}
 	*t = threshold{value: t.value, windowEnd: now + thresholdWindow}
 }
--- a/pkg/admitter/queue.go
+++ b/pkg/admitter/queue.go
@@ -1,98 +1,99 @@
-// The queue is fair between callers: each caller is a flow, and the flow
-// whose head has the smallest virtual finish time goes next. A caller that
-// sends a thousand requests waits behind itself, not in front of others.
+// Weighted fair queueing between callers. Each caller is a flow, and the flow
+// whose first request has the smallest virtual finish time is served next. A
+// caller that sends many requests delays its own requests, not those of others.
 
 package admitter
 
 import "time"
 
 type (
-	// Item is one request for a leaf.
-	Item struct {
-		// ID is unique among the items of the owner.
+	// Request is one request for a leaf.
+	Request struct {
+		// ID is unique among the requests of the owner.
 		ID uint64
-		// Caller is the key of fairness.
+		// Caller identifies the flow that the request belongs to.
 		Caller string
-		// Weight is the share of the caller, 1 where it is not set.
+		// Weight is the relative share of the caller; values of 0 and below count as 1.
 		Weight float64
-		// Deadline is when the answer becomes useless.
+		// Deadline is the time after which an answer is of no use.
 		Deadline time.Duration
-		// Priority, 0 to 1, decides which queries survive an overload on every leaf alike.
+		// Priority is from 0 to 1. Requests of one query have the same priority at every leaf, so that under overload all
+		// leafs shed the same queries.
 		Priority float64
-		// Hedge marks a request that runs a second time to cut latency.
-		Hedge bool
+		// IsHedge marks a hedged request, a duplicate sent to reduce latency.
+		IsHedge bool
 	}
 
 	entry struct {
-		item     Item
-		offered  time.Duration
-		finishAt float64
+		request       Request
+		enqueuedAt    time.Duration
+		virtualFinish float64
 	}
 
 	flow struct {
-		entries []entry
-		last    float64
+		entries    []entry
+		lastFinish float64
 	}
 
 	queue struct {
-		flows   map[string]*flow
-		length  int
-		virtual float64
+		flows       map[string]*flow
+		length      int
+		virtualTime float64
 	}
 )
 
 func newQueue() *queue { return &queue{flows: map[string]*flow{}} }
 
-func (q *queue) push(item Item, now time.Duration) {
-	f := q.flows[item.Caller]
+func (q *queue) push(request Request, now time.Duration) {
+	f := q.flows[request.Caller]
 	if f == nil {
 		f = &flow{}
-		q.flows[item.Caller] = f
+		q.flows[request.Caller] = f
 	}
-	weight := item.Weight
+	weight := request.Weight
 	if weight <= 0 {
 		weight = 1
 	}
-	f.last = max(f.last, q.virtual) + 1/weight
-	f.entries = append(f.entries, entry{item: item, offered: now, finishAt: f.last})
+	f.lastFinish = max(f.lastFinish, q.virtualTime) + 1/weight
+	f.entries = append(f.entries, entry{request: request, enqueuedAt: now, virtualFinish: f.lastFinish})
 	q.length++
 }
 
 func (q *queue) pop() (entry, bool) {
-	var next *flow
-	var key string
+	var first *flow
+	var caller string
 	for k, f := range q.flows {
-		if next == nil || f.entries[0].before(next.entries[0]) {
-			next, key = f, k
+		if first == nil || f.entries[0].precedes(first.entries[0]) {
+			first, caller = f, k
 		}
 	}
-	if next == nil {
+	if first == nil {
 		return entry{}, false
 	}
-	head := next.entries[0]
-	q.virtual = head.finishAt
-	q.removeAt(key, next, 0)
+	head := first.entries[0]
+	q.virtualTime = head.virtualFinish
+	q.removeAt(caller, first, 0)
 	return head, true
 }
 
-// ahead returns how many items go before a new item of the caller.
-func (q *queue) ahead(caller string) int {
-	own := 0
+// countAhead estimates how many queued requests are served before a new request of the caller.
+func (q *queue) countAhead(caller string) int {
+	queued := 0
 	if f := q.flows[caller]; f != nil {
-		own = len(f.entries)
+		queued = len(f.entries)
 	}
 	flows := len(q.flows)
-	if own == 0 {
+	if queued == 0 {
 		flows++
 	}
-	return min(q.length, (own+1)*flows-1)
+	return min(q.length, (queued+1)*flows-1)
 }
 
 func (q *queue) remove(id uint64) (entry, bool) {
-	for key, f := range q.flows {
+	for caller, f := range q.flows {
 		for i, e := range f.entries {
-			if e.item.ID == id {
-				q.removeAt(key, f, i)
+			if e.request.ID == id {
+				q.removeAt(caller, f, i)
 				return e, true
 			}
 		}
@@ -100,12 +101,12 @@
 	return entry{}, false
 }
 
-func (q *queue) removeIf(unwanted func(entry) bool) []entry {
+func (q *queue) removeIf(matches func(entry) bool) []entry {
 	var removed []entry
-	for key, f := range q.flows {
+	for caller, f := range q.flows {
 		kept := f.entries[:0]
 		for _, e := range f.entries {
-			if unwanted(e) {
+			if matches(e) {
 				removed = append(removed, e)
 				continue
 			}
@@ -113,24 +114,24 @@
 		}
 		f.entries = kept
 		if len(kept) == 0 {
-			delete(q.flows, key)
+			delete(q.flows, caller)
 		}
 	}
 	q.length -= len(removed)
 	return removed
 }
 
-func (q *queue) removeAt(key string, f *flow, i int) {
+func (q *queue) removeAt(caller string, f *flow, i int) {
 	f.entries = append(f.entries[:i], f.entries[i+1:]...)
 	q.length--
 	if len(f.entries) == 0 {
-		delete(q.flows, key)
+		delete(q.flows, caller)
 	}
 }
 
-func (e entry) before(other entry) bool {
-	if e.finishAt != other.finishAt {
-		return e.finishAt < other.finishAt
+func (e entry) precedes(other entry) bool {
+	if e.virtualFinish != other.virtualFinish {
+		return e.virtualFinish < other.virtualFinish
 	}
-	return e.item.ID < other.item.ID
+	return e.request.ID < other.request.ID
 }
--- a/pkg/admitter/warm_up.go
+++ b/pkg/admitter/warm_up.go
@@ -1,48 +1,51 @@
-// The warm-up limit is how many requests a leaf may run at once. It opens
-// from one as answers arrive in time and closes to one when answers or
-// running requests show that the leaf is cold again.
+// The warm-up limit is the number of requests that a leaf may run at once. It
+// starts at one, grows while answers arrive in time, and is reset to one when
+// slow answers or slow requests in flight show that the leaf is cold again.
 
 package admitter
 
 import "time"
 
 const (
-	lowestLimit        = 1.0
-	slowFactor         = 3
-	slowMinimum        = 5 * time.Millisecond
-	slowVotesToClose   = 2
-	slowVoteWindow     = 3
-	answersPerStep     = 4
+	minLimit = 1.0
+	// slowFactor is the multiple of the usual latency above which an answer counts as slow.
+	slowFactor     = 3
+	minSlowLatency = 5 * time.Millisecond
+	// slowAnswersToReset is the number of slow answers among the last slowAnswerWindow that resets the limit.
+	slowAnswersToReset = 2
+	slowAnswerWindow   = 3
+	answersPerIncrease = 4
 	baselineGain       = 0.05
 	gradientSmoothing  = 0.2
-	restFirst          = 50 * time.Millisecond
-	restLongest        = 2 * time.Second
-	steadyAnswersFloor = 16
+	minBackoff         = 50 * time.Millisecond
+	maxBackoff         = 2 * time.Second
+	// minBaselineAnswers is the number of answers before the usual latency is known well enough to call one slow.
+	minBaselineAnswers = 16
 )
 
 type (
-	// Growth says how the limit opens; it is AdditiveGrowth or GradientGrowth.
+	// Growth selects how the warm-up limit grows: AdditiveGrowth or GradientGrowth.
 	Growth interface {
 		isGrowth()
 	}
 
-	// AdditiveGrowth adds one after a run of answers in time, and closes to one on evidence of a cold leaf.
+	// AdditiveGrowth raises the limit by one after several consecutive answers in time.
 	AdditiveGrowth struct{}
 
-	// GradientGrowth moves the limit by the ratio of usual to present latency.
+	// GradientGrowth adjusts the limit by the ratio of the usual latency to that of the last answer.
 	GradientGrowth struct{}
 
 	warmUp struct {
-		growth    Growth
-		limit     float64
-		inTime    int
-		answers   int
-		baseline  time.Duration
-		votes     []bool
-		rest      time.Duration
-		restUntil time.Duration
-		closedAt  time.Duration
-		reason    string
+		growth        Growth
+		limit         float64
+		answersInTime int
+		answers       int
+		baseline      time.Duration
+		recentSlow    []bool
+		backoff       time.Duration
+		backoffUntil  time.Duration
+		resetAt       time.Duration
+		resetReason   string
 	}
 )
 
@@ -50,23 +53,23 @@
 func (GradientGrowth) isGrowth() {}
 
 func newWarmUp(growth Growth, now time.Duration) *warmUp {
-	return &warmUp{growth: growth, limit: lowestLimit, closedAt: now, reason: "new owner"}
+	return &warmUp{growth: growth, limit: minLimit, resetAt: now, resetReason: "new owner"}
 }
 
 func (w *warmUp) onAnswer(latency, now time.Duration, slots int) {
-	w.rest = 0
+	w.backoff = 0
 	slow := w.isSlow(latency)
-	w.vote(slow)
-	if w.slowVotes() >= slowVotesToClose && w.limit > lowestLimit {
-		w.close(now, "slow answers")
+	w.recordSlow(slow)
+	if w.countSlow() >= slowAnswersToReset && w.limit > minLimit {
+		w.reset(now, "slow answers")
 		return
 	}
-	w.learn(latency, slow)
+	w.updateBaseline(latency, slow)
 	if slow {
-		w.inTime = 0
+		w.answersInTime = 0
 		return
 	}
-	w.inTime++
+	w.answersInTime++
 	w.grow(latency, slots)
 }
 
@@ -77,39 +80,39 @@
 		target := w.limit*min(1, max(0.5, ratio)) + 1
 		w.limit += gradientSmoothing * (target - w.limit)
 	default:
-		if w.inTime >= answersPerStep {
-			w.inTime = 0
+		if w.answersInTime >= answersPerIncrease {
+			w.answersInTime = 0
 			w.limit++
 		}
 	}
-	w.limit = max(lowestLimit, min(w.limit, float64(slots)))
+	w.limit = max(minLimit, min(w.limit, float64(slots)))
 }
 
-func (w *warmUp) close(now time.Duration, reason string) {
-	w.limit = lowestLimit
-	w.inTime = 0
-	w.votes = w.votes[:0]
-	w.closedAt = now
-	w.reason = reason
+func (w *warmUp) reset(now time.Duration, reason string) {
+	w.limit = minLimit
+	w.answersInTime = 0
+	w.recentSlow = w.recentSlow[:0]
+	w.resetAt = now
+	w.resetReason = reason
 }
 
-// fall closes the limit and leaves the leaf alone for a while that doubles with each fall.
-func (w *warmUp) fall(now time.Duration, reason string) {
-	w.close(now, reason)
-	w.rest = min(restLongest, max(restFirst, 2*w.rest))
-	w.restUntil = now + w.rest
+// backOff resets the limit and sends nothing to the leaf for a time that doubles until the leaf answers again.
+func (w *warmUp) backOff(now time.Duration, reason string) {
+	w.reset(now, reason)
+	w.backoff = min(maxBackoff, max(minBackoff, 2*w.backoff))
+	w.backoffUntil = now + w.backoff
 }
 
-func (w *warmUp) resting(now time.Duration) bool { return now < w.restUntil }
+func (w *warmUp) inBackoff(now time.Duration) bool { return now < w.backoffUntil }
 
 func (w *warmUp) isSlow(latency time.Duration) bool {
-	if w.answers < steadyAnswersFloor {
+	if w.answers < minBaselineAnswers {
 		return false
 	}
-	return latency > max(slowMinimum, slowFactor*w.baseline)
+	return latency > max(minSlowLatency, slowFactor*w.baseline)
 }
 
-func (w *warmUp) learn(latency time.Duration, slow bool) {
+func (w *warmUp) updateBaseline(latency time.Duration, slow bool) {
 	w.answers++
 	if w.baseline == 0 {
 		w.baseline = latency
@@ -122,16 +125,16 @@
 	w.baseline += time.Duration(gain * float64(latency-w.baseline))
 }
 
-func (w *warmUp) vote(slow bool) {
-	w.votes = append(w.votes, slow)
-	if len(w.votes) > slowVoteWindow {
-		w.votes = w.votes[1:]
+func (w *warmUp) recordSlow(slow bool) {
+	w.recentSlow = append(w.recentSlow, slow)
+	if len(w.recentSlow) > slowAnswerWindow {
+		w.recentSlow = w.recentSlow[1:]
 	}
 }
 
-func (w *warmUp) slowVotes() int {
+func (w *warmUp) countSlow() int {
 	count := 0
-	for _, slow := range w.votes {
+	for _, slow := range w.recentSlow {
 		if slow {
 			count++
 		}
--- a/pkg/chooser/chooser.go
+++ b/pkg/chooser/chooser.go
@@ -1,7 +1,7 @@
-// The chooser keeps, per leaf, what the replies of its owner said: queue,
-// limit, latency and refusals. Health endpoints are not consulted. Two
-// candidates are drawn by weight and the one with the lower expected time
-// goes first.
+// Replicas are ranked by what the replies of a leaf's owner report: queue
+// length, limit, latency and refusals. Health endpoints are not polled. By
+// default two candidates are drawn at random by weight, and the one with the
+// lower expected time to an answer is used.
 
 package chooser
 
@@ -15,237 +15,242 @@
 
 const (
 	latencyGain       = 0.2
-	lateGain          = 0.5
+	cancelledGain     = 0.5
 	defaultLatency    = 5 * time.Millisecond
-	ejectAfterFaults  = 5
-	ejectFirst        = 500 * time.Millisecond
-	ejectLongest      = 10 * time.Second
-	ejectSharePercent = 50
-	restPenalty       = 200 * time.Millisecond
+	errorsToEject     = 5
+	minEjection       = 500 * time.Millisecond
+	maxEjection       = 10 * time.Second
+	maxEjectedPercent = 50
+	backoffPenalty    = 200 * time.Millisecond
 	reportLifetime    = 2 * time.Second
-	draws             = 2
+	drawsPerChoice    = 2
 	latencyHalfLife   = 10 * time.Second
-	unavailableFirst  = 100 * time.Millisecond
-	// unavailableLongest is short enough for a leaf that is back to be found soon.
-	unavailableLongest = time.Second
+	minUnavailable    = 100 * time.Millisecond
+	// maxUnavailable is short so that a leaf that is available again is soon used again.
+	maxUnavailable = time.Second
 )
 
 type (
-	// Policy is how replicas are compared; it is Scored, LeastOutstanding or Random.
+	// Policy selects how replicas are compared: PowerOfTwoChoices, LeastOutstanding or Random.
 	Policy interface {
 		isPolicy()
 	}
 
-	// Scored draws two candidates by weight and takes the lower expected time.
-	Scored struct{}
+	// PowerOfTwoChoices draws two candidates at random by weight and uses the one with the lower expected time to an answer.
+	PowerOfTwoChoices struct{}
 
-	// LeastOutstanding takes the replica with the fewest requests of this instance.
+	// LeastOutstanding uses the replica with the fewest outstanding requests of this instance.
 	LeastOutstanding struct{}
 
-	// Random takes any replica by weight.
+	// Random draws a replica at random by weight.
 	Random struct{}
 
-	// Candidate is one replica of a shard that may be asked.
+	// Candidate is a replica of a shard that may be sent a request.
 	Candidate struct {
 		Leaf   assigner.LeafID
 		Weight int
 	}
 
-	// Report is what an owner said of a leaf in a reply.
+	// Report is the admission state of a leaf as its owner reports it in a reply.
 	Report struct {
 		Limit     float64
 		Running   int
 		Queued    int
 		Latency   time.Duration
 		Threshold float64
-		Resting   bool
-		Cold      bool
+		InBackoff bool
+		IsCold    bool
 	}
 
-	// Option sets up a Chooser.
+	// Option configures a Chooser.
 	Option func(*Chooser)
 
-	// Chooser ranks replicas by what replies said of them; it belongs to one goroutine.
+	// Chooser chooses among replicas by their state in earlier replies; it is not safe for concurrent use.
 	Chooser struct {
 		policy Policy
-		leafs  map[assigner.LeafID]*record
+		leafs  map[assigner.LeafID]*leafState
 		random *rand.Rand
 	}
 
-	record struct {
-		report       Report
-		reportedAt   time.Duration
-		outstanding  int
-		latency      time.Duration
-		measuredAt   time.Duration
-		faults       int
-		ejection     time.Duration
-		ejectedUntil time.Duration
-		away         time.Duration
-		awayUntil    time.Duration
+	leafState struct {
+		report            Report
+		reportedAt        time.Duration
+		outstanding       int
+		latency           time.Duration
+		measuredAt        time.Duration
+		consecutiveErrors int
+		ejectionTime      time.Duration
+		ejectedUntil      time.Duration
+		unavailableTime   time.Duration
+		unavailableUntil  time.Duration
 	}
 )
 
-func (Scored) isPolicy()           {}
-func (LeastOutstanding) isPolicy() {}
-func (Random) isPolicy()           {}
+func (PowerOfTwoChoices) isPolicy() {}
+func (LeastOutstanding) isPolicy()  {}
+func (Random) isPolicy()            {}
 
-// WithPolicy sets how replicas are compared.
+// WithPolicy sets how replicas are compared; the default is PowerOfTwoChoices.
 func WithPolicy(policy Policy) Option {
 	return func(c *Chooser) { c.policy = policy }
 }
 
-// New returns a chooser that draws from random.
+// New returns a Chooser that uses random as its source of randomness.
 func New(random *rand.Rand, options ...Option) *Chooser {
-	chooser := &Chooser{policy: Scored{}, leafs: map[assigner.LeafID]*record{}, random: random}
+	chooser := &Chooser{policy: PowerOfTwoChoices{}, leafs: map[assigner.LeafID]*leafState{}, random: random}
 	for _, option := range options {
 		option(chooser)
 	}
 	return chooser
 }
 
-// Choose returns the index of the candidate to ask, or -1 where there is none.
+// Choose returns the index of the candidate to send a request to, or -1 if there are no candidates.
 func (c *Chooser) Choose(candidates []Candidate, now time.Duration) int {
-	allowed := c.withoutEjected(candidates, now)
+	allowed := c.eligible(candidates, now)
 	if len(allowed) == 0 {
 		return -1
 	}
 	switch c.policy.(type) {
 	case Random:
-		return c.draw(candidates, allowed, -1)
+		return c.drawWeighted(candidates, allowed, -1)
 	case LeastOutstanding:
-		return c.lowest(allowed, func(i int) float64 { return float64(c.record(candidates[i].Leaf).outstanding) })
+		return c.minBy(allowed, func(i int) float64 { return float64(c.stateOf(candidates[i].Leaf).outstanding) })
 	}
-	best := c.draw(candidates, allowed, -1)
-	for range draws - 1 {
-		other := c.draw(candidates, allowed, best)
-		if other >= 0 && c.score(candidates[other].Leaf, now) < c.score(candidates[best].Leaf, now) {
+	best := c.drawWeighted(candidates, allowed, -1)
+	for range drawsPerChoice - 1 {
+		other := c.drawWeighted(candidates, allowed, best)
+		if other >= 0 && c.expectedTime(candidates[other].Leaf, now) < c.expectedTime(candidates[best].Leaf, now) {
 			best = other
 		}
 	}
 	return best
 }
 
-// OnSent counts a request of this instance to the leaf.
-func (c *Chooser) OnSent(leaf assigner.LeafID) { c.record(leaf).outstanding++ }
+// OnSent counts an outstanding request of this instance to the leaf.
+func (c *Chooser) OnSent(leaf assigner.LeafID) { c.stateOf(leaf).outstanding++ }
 
-// OnEnded takes back the count of OnSent.
+// OnEnded removes a request counted by OnSent.
 func (c *Chooser) OnEnded(leaf assigner.LeafID) {
-	r := c.record(leaf)
-	r.outstanding = max(0, r.outstanding-1)
+	state := c.stateOf(leaf)
+	state.outstanding = max(0, state.outstanding-1)
 }
 
-// OnReport takes what the owner said of the leaf.
+// OnReport records the state of the leaf that its owner reported.
 func (c *Chooser) OnReport(leaf assigner.LeafID, report Report, now time.Duration) {
-	r := c.record(leaf)
-	r.report = report
-	r.reportedAt = now
+	state := c.stateOf(leaf)
+	state.report = report
+	state.reportedAt = now
 }
 
-// OnAnswer takes the time from sending to the answer.
+// OnAnswer records the latency of an answered request, which also ends the count of consecutive errors.
 func (c *Chooser) OnAnswer(leaf assigner.LeafID, latency, now time.Duration) {
-	r := c.record(leaf)
-	r.faults = 0
-	r.ejection = 0
-	r.away = 0
-	if r.latency == 0 {
-		r.latency = latency
+	state := c.stateOf(leaf)
+	state.consecutiveErrors = 0
+	state.ejectionTime = 0
+	state.unavailableTime = 0
+	if state.latency == 0 {
+		state.latency = latency
 	}
-	r.latency = r.latencyAt(now)
-	r.latency += time.Duration(latencyGain * float64(latency-r.latency))
-	r.measuredAt = now
+	state.latency = state.decayedLatency(now)
+	state.latency += time.Duration(latencyGain * float64(latency-state.latency))
+	state.measuredAt = now
 }
 
-// OnLate takes the time that a request has had no answer when it was given up.
-func (c *Chooser) OnLate(leaf assigner.LeafID, waited, now time.Duration) {
-	r := c.record(leaf)
-	latency := r.latencyAt(now)
+// OnCancelled records how long a cancelled request has waited without an answer; this can only raise the latency
+// estimate of the leaf.
+func (c *Chooser) OnCancelled(leaf assigner.LeafID, waited, now time.Duration) {
+	state := c.stateOf(leaf)
+	latency := state.decayedLatency(now)
 	if waited <= latency {
 		return
 	}
-	r.latency = latency + time.Duration(lateGain*float64(waited-latency))
-	r.measuredAt = now
+	state.latency = latency + time.Duration(cancelledGain*float64(waited-latency))
+	state.measuredAt = now
 }
 
-// OnFault counts an error of the leaf and ejects it after several in a row.
-func (c *Chooser) OnFault(leaf assigner.LeafID, now time.Duration) {
-	r := c.record(leaf)
-	r.faults++
-	if r.faults < ejectAfterFaults || now < r.ejectedUntil {
+// OnError counts an error of the leaf and ejects the leaf after several consecutive errors. The ejection time doubles
+// until the leaf answers.
+func (c *Chooser) OnError(leaf assigner.LeafID, now time.Duration) {
+	state := c.stateOf(leaf)
+	state.consecutiveErrors++
+	if state.consecutiveErrors < errorsToEject || now < state.ejectedUntil {
 		return
 	}
-	r.ejection = min(ejectLongest, max(ejectFirst, 2*r.ejection))
-	r.ejectedUntil = now + r.ejection
-	r.faults = 0
+	state.ejectionTime = min(maxEjection, max(minEjection, 2*state.ejectionTime))
+	state.ejectedUntil = now + state.ejectionTime
+	state.consecutiveErrors = 0
 }
 
-// OnUnavailable notes that nothing can be sent to the leaf; it is asked last for a while that doubles each time.
+// OnUnavailable records that the leaf cannot be sent requests. It is used only as a last resort for a time that doubles
+// until the leaf answers.
 func (c *Chooser) OnUnavailable(leaf assigner.LeafID, now time.Duration) {
-	r := c.record(leaf)
-	if now < r.awayUntil {
+	state := c.stateOf(leaf)
+	if now < state.unavailableUntil {
 		return
 	}
-	r.away = min(unavailableLongest, max(unavailableFirst, 2*r.away))
-	r.awayUntil = now + r.away
+	state.unavailableTime = min(maxUnavailable, max(minUnavailable, 2*state.unavailableTime))
+	state.unavailableUntil = now + state.unavailableTime
 }
 
-// Threshold returns the overload threshold that the owner of the leaf last reported.
+// Threshold returns the overload threshold that the owner of the leaf last reported, or 0 if the report is out of date.
 func (c *Chooser) Threshold(leaf assigner.LeafID, now time.Duration) float64 {
-	r := c.record(leaf)
-	if now-r.reportedAt > reportLifetime {
+	state := c.stateOf(leaf)
+	if now-state.reportedAt > reportLifetime {
 		return 0
 	}
-	return r.report.Threshold
+	return state.report.Threshold
 }
 
-// Usable tells whether a hedge to the leaf is reasonable: it is neither cold, resting nor ejected.
-func (c *Chooser) Usable(leaf assigner.LeafID, now time.Duration) bool {
-	r := c.record(leaf)
-	return !r.report.Cold && !r.report.Resting && now >= r.ejectedUntil && now >= r.awayUntil
+// AllowsHedge reports whether a hedge may be sent to the leaf: it is not cold, in backoff, ejected or unavailable.
+func (c *Chooser) AllowsHedge(leaf assigner.LeafID, now time.Duration) bool {
+	state := c.stateOf(leaf)
+	return !state.report.IsCold && !state.report.InBackoff && now >= state.ejectedUntil && now >= state.unavailableUntil
 }
 
-func (c *Chooser) record(leaf assigner.LeafID) *record {
-	r := c.leafs[leaf]
-	if r == nil {
-		r = &record{}
-		c.leafs[leaf] = r
+func (c *Chooser) stateOf(leaf assigner.LeafID) *leafState {
+	state := c.leafs[leaf]
+	if state == nil {
+		state = &leafState{}
+		c.leafs[leaf] = state
 	}
-	return r
+	return state
 }
 
-// latencyAt returns the measured latency, which fades, so that a leaf that was slow is tried again.
-func (r *record) latencyAt(now time.Duration) time.Duration {
-	halvings := float64(now-r.measuredAt) / float64(latencyHalfLife)
-	return time.Duration(float64(r.latency) * math.Exp2(-halvings))
+// decayedLatency returns the latency estimate, which decays over time so that a leaf that was slow is tried again.
+func (s *leafState) decayedLatency(now time.Duration) time.Duration {
+	halfLives := float64(now-s.measuredAt) / float64(latencyHalfLife)
+	return time.Duration(float64(s.latency) * math.Exp2(-halfLives))
 }
 
-// withoutEjected leaves out ejected leafs, but never more than the allowed share of the candidates.
-func (c *Chooser) withoutEjected(candidates []Candidate, now time.Duration) []int {
-	var kept, ejected, away []int
+// eligible returns the indexes of the candidates that are neither unavailable nor ejected. Ejection has no effect while
+// it concerns more than maxEjectedPercent of the candidates, and if all are excluded, all are returned.
+func (c *Chooser) eligible(candidates []Candidate, now time.Duration) []int {
+	var kept, ejected, unavailable []int
 	for i, candidate := range candidates {
-		r := c.record(candidate.Leaf)
+		state := c.stateOf(candidate.Leaf)
 		switch {
-		case now < r.awayUntil:
-			away = append(away, i)
-		case now < r.ejectedUntil:
+		case now < state.unavailableUntil:
+			unavailable = append(unavailable, i)
+		case now < state.ejectedUntil:
 			ejected = append(ejected, i)
 		default:
 			kept = append(kept, i)
 		}
 	}
 	if len(kept) == 0 {
-		return append(ejected, away...)
+		return append(ejected, unavailable...)
 	}
-	if len(ejected)*100 > len(candidates)*ejectSharePercent {
+	if len(ejected)*100 > len(candidates)*maxEjectedPercent {
 		return append(kept, ejected...)
 	}
 	return kept
 }
 
-func (c *Chooser) draw(candidates []Candidate, allowed []int, except int) int {
+// drawWeighted draws one of the allowed candidates other than excluded at random by weight, or returns -1.
+func (c *Chooser) drawWeighted(candidates []Candidate, allowed []int, excluded int) int {
 	total := 0
 	for _, i := range allowed {
-		if i != except {
+		if i != excluded {
 			total += max(1, candidates[i].Weight)
 		}
 	}
@@ -254,7 +259,7 @@
 	}
 	point := c.random.IntN(total)
 	for _, i := range allowed {
-		if i == except {
+		if i == excluded {
 			continue
 		}
 		point -= max(1, candidates[i].Weight)
@@ -265,31 +270,31 @@
 	return -1
 }
 
-func (c *Chooser) lowest(allowed []int, score func(int) float64) int {
+func (c *Chooser) minBy(allowed []int, value func(int) float64) int {
 	best := allowed[0]
 	for _, i := range allowed[1:] {
-		if score(i) < score(best) {
+		if value(i) < value(best) {
 			best = i
 		}
 	}
 	return best
 }
 
-// score is the expected time to an answer in nanoseconds.
-func (c *Chooser) score(leaf assigner.LeafID, now time.Duration) float64 {
-	r := c.record(leaf)
-	service := r.report.Latency
-	if service == 0 {
-		service = defaultLatency
+// expectedTime returns the expected time to an answer, in nanoseconds.
+func (c *Chooser) expectedTime(leaf assigner.LeafID, now time.Duration) float64 {
+	state := c.stateOf(leaf)
+	latency := state.report.Latency
+	if latency == 0 {
+		latency = defaultLatency
 	}
-	ahead := float64(r.outstanding)
-	if now-r.reportedAt <= reportLifetime {
-		ahead = max(ahead, float64(r.report.Running+r.report.Queued))
+	ahead := float64(state.outstanding)
+	if now-state.reportedAt <= reportLifetime {
+		ahead = max(ahead, float64(state.report.Running+state.report.Queued))
 	}
-	wait := max(0, ahead+1-r.report.Limit) / max(1, r.report.Limit) * float64(service)
-	score := float64(max(service, r.latencyAt(now))) + wait
-	if r.report.Resting && now-r.reportedAt < reportLifetime {
-		score += float64(restPenalty)
+	wait := max(0, ahead+1-state.report.Limit) / max(1, state.report.Limit) * float64(latency)
+	total := float64(max(latency, state.decayedLatency(now))) + wait
+	if state.report.InBackoff && now-state.reportedAt < reportLifetime {
+		total += float64(backoffPenalty)
 	}
-	return score
+	return total
 }
--- a/pkg/chooser/chooser_test.go
+++ b/pkg/chooser/chooser_test.go
@@ -9,9 +9,10 @@
 	"lovagedeck/pkg/assigner"
 )
 
-func three() []Candidate { return []Candidate{{"a", 100}, {"b", 100}, {"c", 100}} }
+func threeReplicas() []Candidate { return []Candidate{{"a", 100}, {"b", 100}, {"c", 100}} }
 
-func shares(c *Chooser, candidates []Candidate, now time.Duration) map[assigner.LeafID]int {
+// countChoices returns how often each leaf is chosen in 1000 choices.
+func countChoices(c *Chooser, candidates []Candidate, now time.Duration) map[assigner.LeafID]int {
 	counts := map[assigner.LeafID]int{}
 	for range 1000 {
 		counts[candidates[c.Choose(candidates, now)].Leaf]++
@@ -19,80 +20,80 @@
 	return counts
 }
 
-func TestChoice(t *testing.T) {
+func TestChooseAvoidsWorseReplica(t *testing.T) {
 	now := time.Second
 	tests := []struct {
-		name    string
-		set     func(c *Chooser)
-		highest int
+		name      string
+		setUp     func(c *Chooser)
+		maxChosen int
 	}{
 		{"long queue", func(c *Chooser) { c.OnReport("a", Report{Limit: 2, Queued: 20, Latency: 5 * time.Millisecond}, now) }, 0},
-		{"left to rest", func(c *Chooser) {
-			c.OnReport("a", Report{Limit: 1, Resting: true}, now-reportLifetime/2)
+		{"in backoff", func(c *Chooser) {
+			c.OnReport("a", Report{Limit: 1, InBackoff: true}, now-reportLifetime/2)
 			c.OnAnswer("b", 90*time.Millisecond, now)
 			c.OnAnswer("c", 90*time.Millisecond, now)
 		}, 0},
 		{"slow answers", func(c *Chooser) { c.OnAnswer("a", 80*time.Millisecond, now) }, 0},
-		{"given up late", func(c *Chooser) {
+		{"cancelled after a long wait", func(c *Chooser) {
 			for range 10 {
-				c.OnLate("a", 80*time.Millisecond, now)
+				c.OnCancelled("a", 80*time.Millisecond, now)
 			}
 		}, 0},
-		{"cannot be sent to", func(c *Chooser) { c.OnUnavailable("a", now) }, 0},
-		{"errors in a row", func(c *Chooser) {
-			for range ejectAfterFaults {
-				c.OnFault("a", now)
+		{"unavailable", func(c *Chooser) { c.OnUnavailable("a", now) }, 0},
+		{"consecutive errors", func(c *Chooser) {
+			for range errorsToEject {
+				c.OnError("a", now)
 			}
 		}, 0},
-		{"like the others", func(*Chooser) {}, 450},
+		{"no difference", func(*Chooser) {}, 450},
 	}
 	for _, test := range tests {
 		c := New(rand.New(rand.NewPCG(1, 1)))
-		test.set(c)
-		if got := shares(c, three(), now)["a"]; got > test.highest {
-			t.Errorf("%s: chosen %d of 1000 times, want at most %d", test.name, got, test.highest)
+		test.setUp(c)
+		if got := countChoices(c, threeReplicas(), now)["a"]; got > test.maxChosen {
+			t.Errorf("%s: leaf a chosen %d of 1000 times, want at most %d", test.name, got, test.maxChosen)
 		}
 	}
 }
 
-func TestWeights(t *testing.T) {
+func TestRandomFollowsWeights(t *testing.T) {
 	c := New(rand.New(rand.NewPCG(1, 1)), WithPolicy(Random{}))
-	counts := shares(c, []Candidate{{"a", 300}, {"b", 100}}, 0)
+	counts := countChoices(c, []Candidate{{"a", 300}, {"b", 100}}, 0)
 	if counts["a"] < 700 || counts["a"] > 800 {
-		t.Fatalf("chosen %d of 1000 times at weight 300 of 400", counts["a"])
+		t.Fatalf("leaf with weight 300 of 400 chosen %d of 1000 times, want 700 to 800", counts["a"])
 	}
 }
 
-func TestSlownessFades(t *testing.T) {
+func TestLatencyEstimateDecays(t *testing.T) {
 	c := New(rand.New(rand.NewPCG(1, 1)))
 	c.OnAnswer("a", 80*time.Millisecond, 0)
-	if got := shares(c, three(), 20*latencyHalfLife)["a"]; got == 0 {
-		t.Fatal("a leaf that was slow long ago is never tried again")
+	if got := countChoices(c, threeReplicas(), 20*latencyHalfLife)["a"]; got == 0 {
+		t.Fatal("a leaf that was slow 20 half-lives ago was chosen 0 of 1000 times, want at least 1")
 	}
 }
 
-func TestSickMajorityIsNotEjected(t *testing.T) {
+func TestMajorityWithErrorsIsNotEjected(t *testing.T) {
 	c := New(rand.New(rand.NewPCG(1, 1)))
 	for _, leaf := range []assigner.LeafID{"a", "b"} {
-		for range ejectAfterFaults {
-			c.OnFault(leaf, 0)
+		for range errorsToEject {
+			c.OnError(leaf, 0)
 		}
 	}
-	if counts := shares(c, three(), 1); counts["a"] == 0 || counts["b"] == 0 {
-		t.Fatalf("two of three were ejected: %v", counts)
+	if counts := countChoices(c, threeReplicas(), 1); counts["a"] == 0 || counts["b"] == 0 {
+		t.Fatalf("two of three leafs with errors: choices %v, want leafs a and b chosen as well", counts)
 	}
 }
 
-func TestNobodyLeft(t *testing.T) {
+func TestChooseWithoutEligibleCandidates(t *testing.T) {
 	c := New(rand.New(rand.NewPCG(1, 1)))
 	if got := c.Choose(nil, 0); got != -1 {
-		t.Fatalf("chose %d of nothing", got)
+		t.Fatalf("got candidate %d of an empty list, want -1", got)
 	}
-	for _, candidate := range three() {
+	for _, candidate := range threeReplicas() {
 		c.OnUnavailable(candidate.Leaf, 0)
 	}
-	if got := c.Choose(three(), 1); got < 0 {
-		t.Fatal("nothing chosen although all are alike")
+	if got := c.Choose(threeReplicas(), 1); got < 0 {
+		t.Fatalf("got %d with all leafs unavailable, want one of them", got)
 	}
 }
 
@@ -111,14 +112,14 @@
 	}
 }
 
-func TestSomebodyIsAlwaysChosen(t *testing.T) {
+func TestChooseWithEjectedAndUnavailableLeafs(t *testing.T) {
 	c := New(rand.New(rand.NewPCG(1, 1)))
-	for range ejectAfterFaults {
-		c.OnFault("a", 0)
+	for range errorsToEject {
+		c.OnError("a", 0)
 	}
 	c.OnUnavailable("b", 0)
 	c.OnUnavailable("c", 0)
-	if c.Choose(three(), 1) < 0 {
-		t.Fatal("one leaf is ejected, the others cannot be sent to, and nobody is asked")
+	if c.Choose(threeReplicas(), 1) < 0 {
+		t.Fatal("got no candidate with one leaf ejected and two unavailable, want one of them")
 	}
 }
--- a/pkg/chooser/doc.go
+++ b/pkg/chooser/doc.go
@@ -1,2 +1,2 @@
-// Package chooser decides which replica of a shard is asked.
+// Package chooser selects the replica of a shard that a request is sent to.
 package chooser
--- a/pkg/coordinator/answer.go
+++ b/pkg/coordinator/answer.go
@@ -1,5 +1,3 @@
-// An answer states its outcome and its coverage.
-
 package coordinator
 
 import (
@@ -9,80 +7,92 @@
 )
 
 const (
-	// OutcomeComplete says that every shard of the version answered.
+	// OutcomeComplete means that every shard of the version answered.
 	OutcomeComplete Outcome = "complete"
-	// OutcomePartial says that enough shards answered and lists the others.
+	// OutcomePartial means that enough shards answered to reach the minimum coverage; the others are listed as missing.
 	OutcomePartial Outcome = "partial"
-	// OutcomeRefused says that no leaf ran any part of the query.
+	// OutcomeRefused means that no leaf ran any part of the query.
 	OutcomeRefused Outcome = "refused-not-run"
-	// OutcomeFailed says that there is no usable answer and that leafs may have run the query.
+	// OutcomeFailed means that there is no usable answer and that leafs may have run parts of the query.
 	OutcomeFailed Outcome = "failed-may-have-run"
 )
 
 const (
 	// AttemptFirst is the first request for a shard.
 	AttemptFirst AttemptKind = "first"
-	// AttemptRetry replaces a request that ended without an answer.
+	// AttemptRetry is a request that replaces one which ended without an answer.
 	AttemptRetry AttemptKind = "retry"
-	// AttemptHedge runs beside a request that takes long.
+	// AttemptHedge is a duplicate of a request in flight that takes longer than usual.
 	AttemptHedge AttemptKind = "hedge"
 )
 
 type (
-	// Outcome is the result of a query as a typed word.
+	// Outcome is the result class of a query.
 	Outcome string
 
-	// AttemptKind says why a request was sent.
+	// AttemptKind is the reason why a request was sent.
 	AttemptKind string
 
-	// MissingShard is a shard without an answer and the reason.
+	// MissingShard is a shard without an answer, with the reason.
 	MissingShard struct {
 		Shard  Shard
 		Reason string
 	}
 
-	// Part is the answer of one shard.
+	// Part is the partial result of one shard.
 	Part struct {
 		Shard Shard
 		Body  []byte
 	}
 
-	// Timing is how long the steps of one request took at the owner.
+	// Timing is how long the steps of one request took at the owner of the leaf.
 	Timing struct {
-		Queue   time.Duration
-		Connect time.Duration
-		Leaf    time.Duration
-		// Limit and Slots describe the leaf when the request was sent.
+		// QueueTime is the time in the admission queue.
+		QueueTime time.Duration
+		// ConnectTime is the time to open a connection to the leaf.
+		ConnectTime time.Duration
+		// LeafTime is the time from sending the request to the leaf's answer.
+		LeafTime time.Duration
+		// Limit is the warm-up limit of the leaf when its owner replied, in requests.
 		Limit int
+		// Slots is the number of requests that the leaf may run at once when fully warmed up.
 		Slots int
-		// ClosedFor is the time since the leaf's limit was closed, and ClosedReason why.
-		ClosedFor    time.Duration
-		ClosedReason string
+		// SinceLimitReset is the time since the last reset of the warm-up limit before the request was sent.
+		SinceLimitReset time.Duration
+		// LimitResetReason is the reason for that reset.
+		LimitResetReason string
 	}
 
-	// AttemptRecord is the course of one request, for explanations.
+	// AttemptRecord describes one request of a query, for traces.
 	AttemptRecord struct {
-		ID      uint64
-		Shard   Shard
-		Leaf    assigner.LeafID
-		Kind    AttemptKind
-		Sent    time.Duration
-		Ended   time.Duration
+		ID    uint64
+		Shard Shard
+		Leaf  assigner.LeafID
+		Kind  AttemptKind
+		// Sent is the time at which the request was sent.
+		Sent time.Duration
+		// Ended is the time at which the request was answered, failed or was cancelled.
+		Ended time.Duration
+		// Result is "answered", "cancelled", or a text with the reason.
 		Result  string
 		Timing  Timing
 		Version Version
 	}
 
-	// Answer is what the caller is told.
+	// Answer is the result of a query.
 	Answer struct {
-		Outcome  Outcome
-		Version  Version
+		Outcome Outcome
+		Version Version
+		// Answered is the number of shards that answered.
 		Answered int
-		Total    int
-		Missing  []MissingShard
-		Parts    []Part
+		// Total is the number of shards of the version.
+		Total   int
+		Missing []MissingShard
+		Parts   []Part
+		// Reason is the reason of an outcome other than OutcomeComplete.
 		Reason   string
 		Attempts []AttemptRecord
+		// Restarts is the number of times that the query started again with a newer version.
 		Restarts int
 	}
 )
@@ -95,7 +105,7 @@
 	return float64(a.Answered) / float64(a.Total)
 }
 
-// Refuse returns an answer that says truly that nothing ran.
-func Refuse(reason string) Answer {
+// RefusedAnswer returns the answer to a query of which no leaf has run any part.
+func RefusedAnswer(reason string) Answer {
 	return Answer{Outcome: OutcomeRefused, Reason: reason}
 }
--- a/pkg/coordinator/catalogue.go
+++ b/pkg/coordinator/catalogue.go
@@ -1,6 +1,6 @@
-// The catalogue is what an instance knows of leafs: the roster from the
-// platform and the holdings from the leafs themselves. A leaf holds, for
-// each index version, one shard out of that version's shard count:
+// The catalogue holds the leafs that the platform lists and the shards that
+// they report to hold. For each index version, a leaf holds one of the shards
+// into which that version is divided:
 //
 //	leaf customs-desk-01/ub-a/0 holds agency@41 shard 0 of 2, agency@42 shard 0 of 2
 
@@ -15,35 +15,38 @@
 )
 
 type (
-	// Version names one snapshot of an index.
+	// Version identifies one snapshot of an index.
 	Version struct {
 		Index  string
 		Number uint64
 	}
 
-	// Shard names one shard of a service.
+	// Shard identifies one shard of a service.
 	Shard struct {
 		Service string
 		Number  int
 	}
 
-	// Holding is one shard of one version that a leaf holds.
+	// Holding is a shard of a version that a leaf holds.
 	Holding struct {
 		Version Version
-		Shard   int
-		Shards  int
+		// Shard is the number of the shard, from 0.
+		Shard int
+		// Shards is the number of shards of the version.
+		Shards int
 	}
 
-	// LeafRecord is the roster entry of a leaf.
+	// LeafRecord describes a leaf that the platform lists.
 	LeafRecord struct {
 		ID         assigner.LeafID
 		Service    string
 		DataCentre string
 		Address    string
-		Leaving    bool
+		// IsDraining means that the platform is removing the leaf, so that it must not be sent new requests.
+		IsDraining bool
 	}
 
-	// Catalogue holds the roster and the holdings; it belongs to one goroutine.
+	// Catalogue holds the known leafs and their holdings; it is not safe for concurrent use.
 	Catalogue struct {
 		leafs     map[assigner.LeafID]LeafRecord
 		services  map[string][]assigner.LeafID
@@ -51,21 +54,22 @@
 		refusedAt map[assigner.LeafID]time.Duration
 	}
 
-	// ShardPlan is one shard with the replicas that may be asked.
+	// ShardPlan is one shard with the replicas that requests for it may be sent to.
 	ShardPlan struct {
 		Shard      Shard
 		Candidates []assigner.LeafID
-		Weights    []int
+		// Weights are the relative weights of the candidates, in the same order.
+		Weights []int
 	}
 
-	// Plan pins one version and lists its shards.
+	// Plan is the version that a query reads and the shards of that version.
 	Plan struct {
 		Version Version
 		Shards  []ShardPlan
 	}
 )
 
-// NewCatalogue returns a catalogue that knows no leaf.
+// NewCatalogue returns an empty catalogue.
 func NewCatalogue() *Catalogue {
 	return &Catalogue{
 		leafs: map[assigner.LeafID]LeafRecord{}, services: map[string][]assigner.LeafID{},
@@ -73,8 +77,8 @@
 	}
 }
 
-// SetRoster replaces the roster and keeps the holdings of the leafs that remain.
-func (c *Catalogue) SetRoster(records []LeafRecord) {
+// SetLeafs replaces the list of leafs and keeps the holdings of those that remain.
+func (c *Catalogue) SetLeafs(records []LeafRecord) {
 	c.leafs = make(map[assigner.LeafID]LeafRecord, len(records))
 	c.services = map[string][]assigner.LeafID{}
 	for _, record := range records {
@@ -83,16 +87,16 @@
 	}
 }
 
-// Leaf returns the roster entry of a leaf.
+// Leaf returns the record of a leaf, and false if the platform does not list it.
 func (c *Catalogue) Leaf(id assigner.LeafID) (LeafRecord, bool) {
 	record, ok := c.leafs[id]
 	return record, ok
 }
 
-// LeafsOf returns the leafs of a service.
+// LeafsOf returns the identifiers of the leafs of a service.
 func (c *Catalogue) LeafsOf(service string) []assigner.LeafID { return c.services[service] }
 
-// Services returns the names of all services in the roster.
+// Services returns the sorted names of the services that have leafs.
 func (c *Catalogue) Services() []string {
 	names := make([]string, 0, len(c.services))
 	for name := range c.services {
@@ -102,15 +106,15 @@
 	return names
 }
 
-// Learn takes the holdings that a leaf stated.
-func (c *Catalogue) Learn(leaf assigner.LeafID, holdings []Holding) {
+// SetHoldings records the holdings that a leaf reported; an empty list is ignored.
+func (c *Catalogue) SetHoldings(leaf assigner.LeafID, holdings []Holding) {
 	if len(holdings) > 0 {
 		c.holdings[leaf] = holdings
 	}
 }
 
-// Unlearn forgets one version of a leaf that said it does not hold it.
-func (c *Catalogue) Unlearn(leaf assigner.LeafID, version Version) {
+// RemoveVersion removes a version from the holdings of a leaf that reported not to hold it.
+func (c *Catalogue) RemoveVersion(leaf assigner.LeafID, version Version) {
 	kept := make([]Holding, 0, len(c.holdings[leaf]))
 	for _, holding := range c.holdings[leaf] {
 		if holding.Version != version {
@@ -120,8 +124,8 @@
 	c.holdings[leaf] = kept
 }
 
-// Unknown returns the leafs of the services whose holdings are not known.
-func (c *Catalogue) Unknown(services []string) []assigner.LeafID {
+// LeafsWithoutHoldings returns the leafs of the services for which no holdings are known.
+func (c *Catalogue) LeafsWithoutHoldings(services []string) []assigner.LeafID {
 	var unknown []assigner.LeafID
 	for _, service := range services {
 		for _, id := range c.services[service] {
@@ -133,17 +137,18 @@
 	return unknown
 }
 
-// Pin returns the plan of the newest version that is wholly reachable, else of the version with the largest reachable share.
-func (c *Catalogue) Pin(services []string, view *tabulator.View) (Plan, bool) {
+// PlanQuery returns a plan for the newest version of which every shard has a candidate, or else for the version with the
+// largest share of such shards. It returns false if no version is known that all services hold.
+func (c *Catalogue) PlanQuery(services []string, view *tabulator.View) (Plan, bool) {
 	var best Plan
 	found := false
 	bestMissing := 0
-	for _, version := range c.versions(services) {
-		plan, ok := c.plan(version, services, view)
+	for _, version := range c.versionsOf(services) {
+		plan, ok := c.planVersion(version, services, view)
 		if !ok {
 			continue
 		}
-		missing := plan.unreachable()
+		missing := plan.countUnreachable()
 		if missing == 0 {
 			return plan, true
 		}
@@ -154,8 +159,8 @@
 	return best, found
 }
 
-// versions returns the versions that any leaf of the services holds, newest first.
-func (c *Catalogue) versions(services []string) []Version {
+// versionsOf returns the versions that any leaf of the services holds, newest first.
+func (c *Catalogue) versionsOf(services []string) []Version {
 	seen := map[Version]bool{}
 	var versions []Version
 	for _, service := range services {
@@ -168,11 +173,12 @@
 			}
 		}
 	}
-	sort.Slice(versions, func(i, j int) bool { return versions[j].before(versions[i]) })
+	sort.Slice(versions, func(i, j int) bool { return versions[j].isOlderThan(versions[i]) })
 	return versions
 }
 
-func (c *Catalogue) plan(version Version, services []string, view *tabulator.View) (Plan, bool) {
+// planVersion returns the plan for a version, and false if a service has no leaf that holds it.
+func (c *Catalogue) planVersion(version Version, services []string, view *tabulator.View) (Plan, bool) {
 	plan := Plan{Version: version}
 	for _, service := range services {
 		shards, ok := c.planService(version, service, view)
@@ -187,7 +193,7 @@
 func (c *Catalogue) planService(version Version, service string, view *tabulator.View) ([]ShardPlan, bool) {
 	count := 0
 	for _, id := range c.services[service] {
-		if holding, ok := c.holds(id, version); ok {
+		if holding, ok := c.holdingOf(id, version); ok {
 			count = holding.Shards
 		}
 	}
@@ -199,13 +205,13 @@
 		shards[i].Shard = Shard{Service: service, Number: i}
 	}
 	for _, id := range c.services[service] {
-		holding, ok := c.holds(id, version)
+		holding, ok := c.holdingOf(id, version)
 		if !ok || holding.Shards != count || holding.Shard < 0 || holding.Shard >= count {
 			continue
 		}
 		record := c.leafs[id]
-		row, takes := view.TakesWork(tabulator.Key{Service: service, DataCentre: record.DataCentre})
-		if !takes || record.Leaving {
+		row, takesWork := view.TakesWork(tabulator.Key{Service: service, DataCentre: record.DataCentre})
+		if !takesWork || record.IsDraining {
 			continue
 		}
 		shard := &shards[holding.Shard]
@@ -215,7 +221,7 @@
 	return shards, true
 }
 
-func (c *Catalogue) holds(leaf assigner.LeafID, version Version) (Holding, bool) {
+func (c *Catalogue) holdingOf(leaf assigner.LeafID, version Version) (Holding, bool) {
 	for _, holding := range c.holdings[leaf] {
 		if holding.Version == version {
 			return holding, true
@@ -224,10 +230,10 @@
 	return Holding{}, false
 }
 
-// Whole tells whether every shard has a replica that may be asked.
-func (p Plan) Whole() bool { return p.unreachable() == 0 }
+// IsComplete reports whether every shard has a candidate.
+func (p Plan) IsComplete() bool { return p.countUnreachable() == 0 }
 
-func (p Plan) unreachable() int {
+func (p Plan) countUnreachable() int {
 	missing := 0
 	for _, shard := range p.Shards {
 		if len(shard.Candidates) == 0 {
@@ -237,7 +243,7 @@
 	return missing
 }
 
-func (v Version) before(other Version) bool {
+func (v Version) isOlderThan(other Version) bool {
 	if v.Number != other.Number {
 		return v.Number < other.Number
 	}
--- a/pkg/coordinator/catalogue_test.go
+++ b/pkg/coordinator/catalogue_test.go
@@ -8,12 +8,12 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-func viewOf(t *testing.T, commands ...tabulator.Command) *tabulator.View {
+func newView(t *testing.T, commands ...tabulator.Command) *tabulator.View {
 	t.Helper()
 	machine := tabulator.NewMachine()
 	for i, command := range commands {
 		if result := machine.Apply(command); result.Verdict != tabulator.VerdictAccepted {
-			t.Fatalf("command %d: %+v", i, result)
+			t.Fatalf("command %d: got result %+v, want verdict %q", i, result, tabulator.VerdictAccepted)
 		}
 	}
 	view, err := tabulator.NewView().Apply(machine.Delta(0))
@@ -23,7 +23,7 @@
 	return view
 }
 
-func rows(dataCentres ...string) tabulator.Command {
+func addRows(dataCentres ...string) tabulator.Command {
 	change := tabulator.ChangeRows{ChangeID: "rows"}
 	for _, dataCentre := range dataCentres {
 		change.Rows = append(change.Rows, tabulator.RowFields{
@@ -33,8 +33,9 @@
 	return change
 }
 
-// catalogueOf has one leaf per data centre and shard, each holding the given versions out of two shards.
-func catalogueOf(versions map[string][]uint64, dataCentres ...string) *Catalogue {
+// newCatalogue returns a catalogue with one leaf per data centre and shard. Each leaf holds its shard, one of two, of the
+// versions given for its data centre.
+func newCatalogue(versions map[string][]uint64, dataCentres ...string) *Catalogue {
 	c := NewCatalogue()
 	var records []LeafRecord
 	for _, dataCentre := range dataCentres {
@@ -42,14 +43,14 @@
 			records = append(records, LeafRecord{ID: leafID(dataCentre, shard), Service: "s", DataCentre: dataCentre, Address: "x"})
 		}
 	}
-	c.SetRoster(records)
+	c.SetLeafs(records)
 	for _, dataCentre := range dataCentres {
 		for shard := range 2 {
 			var holdings []Holding
 			for _, number := range versions[dataCentre] {
 				holdings = append(holdings, Holding{Version: Version{Index: "i", Number: number}, Shard: shard, Shards: 2})
 			}
-			c.Learn(leafID(dataCentre, shard), holdings)
+			c.SetHoldings(leafID(dataCentre, shard), holdings)
 		}
 	}
 	return c
@@ -59,57 +60,57 @@
 	return assigner.LeafID(fmt.Sprintf("s-%s-%d", dataCentre, shard))
 }
 
-func TestPin(t *testing.T) {
+func TestPlanQuerySelectsVersion(t *testing.T) {
 	tests := []struct {
-		name     string
-		versions map[string][]uint64
-		commands []tabulator.Command
-		version  uint64
-		replicas int
-		ok       bool
+		name         string
+		versions     map[string][]uint64
+		commands     []tabulator.Command
+		wantVersion  uint64
+		wantReplicas int
+		wantOK       bool
 	}{
-		{"newest that is whole", map[string][]uint64{"a": {7, 8}, "b": {7}}, []tabulator.Command{rows("a", "b")}, 8, 1, true},
-		{"both hold it", map[string][]uint64{"a": {7}, "b": {7}}, []tabulator.Command{rows("a", "b")}, 7, 2, true},
+		{"newest version is complete", map[string][]uint64{"a": {7, 8}, "b": {7}}, []tabulator.Command{addRows("a", "b")}, 8, 1, true},
+		{"version held in both data centres", map[string][]uint64{"a": {7}, "b": {7}}, []tabulator.Command{addRows("a", "b")}, 7, 2, true},
 		{
-			"newest only where it is taken out",
+			"newest version only in a data centre out of service",
 			map[string][]uint64{"a": {8}, "b": {7}},
-			[]tabulator.Command{rows("a", "b"), tabulator.SetDataCentre{ChangeID: "out", Name: "a", State: tabulator.StateOut}},
+			[]tabulator.Command{addRows("a", "b"), tabulator.SetDataCentre{ChangeID: "out", Name: "a", State: tabulator.StateOut}},
 			7, 1, true,
 		},
-		{"no row", map[string][]uint64{"a": {7}}, []tabulator.Command{rows("b")}, 7, 0, true},
-		{"nothing known", nil, []tabulator.Command{rows("a", "b")}, 0, 0, false},
+		{"no row for the data centre", map[string][]uint64{"a": {7}}, []tabulator.Command{addRows("b")}, 7, 0, true},
+		{"no holdings known", nil, []tabulator.Command{addRows("a", "b")}, 0, 0, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := catalogueOf(test.versions, "a", "b")
-			plan, ok := c.Pin([]string{"s"}, viewOf(t, test.commands...))
-			if ok != test.ok || plan.Version.Number != test.version {
-				t.Fatalf("version %d, known %t; want %d, %t", plan.Version.Number, ok, test.version, test.ok)
+			c := newCatalogue(test.versions, "a", "b")
+			plan, ok := c.PlanQuery([]string{"s"}, newView(t, test.commands...))
+			if ok != test.wantOK || plan.Version.Number != test.wantVersion {
+				t.Fatalf("got version %d, found %t; want %d, %t", plan.Version.Number, ok, test.wantVersion, test.wantOK)
 			}
-			if ok && (len(plan.Shards) != 2 || len(plan.Shards[0].Candidates) != test.replicas) {
-				t.Fatalf("plan %+v", plan)
+			if ok && (len(plan.Shards) != 2 || len(plan.Shards[0].Candidates) != test.wantReplicas) {
+				t.Fatalf("got plan %+v, want 2 shards with %d candidates for the first", plan, test.wantReplicas)
 			}
 		})
 	}
 }
 
-func TestCoverageCountsTheVersionsShards(t *testing.T) {
-	c := catalogueOf(map[string][]uint64{"a": {7}}, "a")
-	c.Learn(leafID("a", 1), nil)
-	c.Unlearn(leafID("a", 1), Version{Index: "i", Number: 7})
-	plan, ok := c.Pin([]string{"s"}, viewOf(t, rows("a")))
+func TestPlanQueryIncludesShardWithoutReplica(t *testing.T) {
+	c := newCatalogue(map[string][]uint64{"a": {7}}, "a")
+	c.SetHoldings(leafID("a", 1), nil)
+	c.RemoveVersion(leafID("a", 1), Version{Index: "i", Number: 7})
+	plan, ok := c.PlanQuery([]string{"s"}, newView(t, addRows("a")))
 	if !ok || len(plan.Shards) != 2 || len(plan.Shards[1].Candidates) != 0 {
-		t.Fatalf("a shard that nobody holds is not counted: %+v", plan)
+		t.Fatalf("got plan %+v, want 2 shards with no candidate for the second", plan)
 	}
 }
 
-func TestLeavingLeafIsNotAsked(t *testing.T) {
-	c := catalogueOf(map[string][]uint64{"a": {7}, "b": {7}}, "a", "b")
-	c.SetRoster([]LeafRecord{
-		{ID: leafID("a", 0), Service: "s", DataCentre: "a", Leaving: true}, {ID: leafID("b", 0), Service: "s", DataCentre: "b"},
+func TestPlanQuerySkipsDrainingLeaf(t *testing.T) {
+	c := newCatalogue(map[string][]uint64{"a": {7}, "b": {7}}, "a", "b")
+	c.SetLeafs([]LeafRecord{
+		{ID: leafID("a", 0), Service: "s", DataCentre: "a", IsDraining: true}, {ID: leafID("b", 0), Service: "s", DataCentre: "b"},
 	})
-	plan, _ := c.Pin([]string{"s"}, viewOf(t, rows("a", "b")))
+	plan, _ := c.PlanQuery([]string{"s"}, newView(t, addRows("a", "b")))
 	if got := plan.Shards[0].Candidates; len(got) != 1 || got[0] != leafID("b", 0) {
-		t.Fatalf("candidates %v", got)
+		t.Fatalf("got candidates %v, want only %s", got, leafID("b", 0))
 	}
 }
--- a/pkg/coordinator/doc.go
+++ b/pkg/coordinator/doc.go
@@ -1,2 +1,3 @@
-// Package coordinator decides the course of one query: what is asked, again, twice or no longer, and what the answer states.
+// Package coordinator runs one query: it decides which requests are sent, retried, hedged and cancelled, and builds the
+// answer.
 package coordinator
--- a/pkg/coordinator/query.go
+++ b/pkg/coordinator/query.go
@@ -1,5 +1,6 @@
-// Query is the state of one query. The caller of this package feeds it
-// replies and the time, and carries out the actions it returns.
+// Query is the state machine of one query. It does no I/O and reads no clock:
+// its caller passes in replies and the current time, and carries out the
+// actions that it returns.
 
 package coordinator
 
@@ -13,59 +14,63 @@
 
 const (
 	maxAttemptsPerShard = 6
-	retryPause          = 8 * time.Millisecond
-	answerMargin        = 2 * time.Millisecond
-	// ReasonNoReplica says that no replica of the shard takes work.
+	retryDelay          = 8 * time.Millisecond
+	// answerMargin is how long before its deadline a query ends, to leave time for returning the answer.
+	answerMargin = 2 * time.Millisecond
+	// ReasonNoReplica means that no replica of the shard accepts requests.
 	ReasonNoReplica = "no-replica"
-	// ReasonDeadline says that the deadline came first.
+	// ReasonDeadline means that the deadline passed before the shard answered.
 	ReasonDeadline = "deadline"
-	// ReasonNotAwaited says that the query ended before the shard did, since its minimum coverage was out of reach.
+	// ReasonNotAwaited means that the query ended before the shard answered, because its minimum coverage could no longer
+	// be reached.
 	ReasonNotAwaited = "not-awaited"
-	// ReasonVersionGone says that no replica holds the pinned version any longer.
+	// ReasonVersionGone means that no replica holds the planned version any longer.
 	ReasonVersionGone = "version-gone"
-	// ReasonMayHaveRun says that the request may have run and must not be sent again.
+	// ReasonMayHaveRun means that the request may have run and is not retried because it is not idempotent.
 	ReasonMayHaveRun = "may-have-run"
-	// ReasonWrongAnswer says that the leaf answered for another version or shard.
+	// ReasonWrongAnswer means that the leaf answered for another version or shard than requested.
 	ReasonWrongAnswer = "wrong-answer"
 )
 
 type (
-	// Action is what the caller of this package carries out; it is Ask, Cancel, Finish or StartOver.
+	// Action is a step that the caller of a Query must carry out: Send, Cancel, Finish or Replan.
 	Action interface {
 		isAction()
 	}
 
-	// Ask sends one request to a leaf.
-	Ask struct {
-		Attempt  uint64
-		Leaf     assigner.LeafID
-		Shard    Shard
-		Version  Version
+	// Send sends one request to a leaf.
+	Send struct {
+		Attempt uint64
+		Leaf    assigner.LeafID
+		Shard   Shard
+		Version Version
+		// Deadline is the time by which the leaf must have answered.
 		Deadline time.Duration
-		Hedge    bool
+		IsHedge  bool
 	}
 
-	// Cancel gives up one request.
+	// Cancel cancels one request in flight.
 	Cancel struct {
 		Attempt uint64
 		Leaf    assigner.LeafID
 	}
 
-	// Finish ends the query.
+	// Finish ends the query with its answer.
 	Finish struct {
 		Answer Answer
 	}
 
-	// StartOver asks for a new plan, since the pinned version has gone.
-	StartOver struct{}
+	// Replan requests a plan of a newer version, because no replica of a shard holds the planned one any longer. The
+	// caller answers it with Restart or KeepPlan.
+	Replan struct{}
 
-	// Reply is the end of one request; it is Hit, NotRun or Unknown.
+	// Reply is the result of one request: Success, NotRun or UnknownOutcome.
 	Reply interface {
 		attempt() uint64
 	}
 
-	// Hit is the answer of a leaf.
-	Hit struct {
+	// Success is an answer with the partial result of a leaf.
+	Success struct {
 		Attempt uint64
 		Version Version
 		Shard   int
@@ -73,151 +78,161 @@
 		Timing  Timing
 	}
 
-	// NotRun says that no leaf started the request.
+	// NotRun means that no leaf has run the request, so that it may be retried.
 	NotRun struct {
 		Attempt uint64
 		Reason  string
-		// Overload says that the leaf had no room for the request in time.
-		Overload bool
-		// Sustained says that the leaf sheds load or has raised its threshold.
-		Sustained  bool
-		WrongPlan  bool
-		LeafFaulty bool
-		Timing     Timing
-	}
-
-	// Unknown says that the leaf may have run the request.
-	Unknown struct {
+		// IsOverload means that the leaf had no capacity for the request before its deadline.
+		IsOverload bool
+		// IsSustainedOverload means that the leaf shed the request or its overload threshold is raised, which pauses hedging.
+		IsSustainedOverload bool
+		// IsVersionGone means that the leaf no longer holds the requested version.
+		IsVersionGone bool
+		// IsLeafFault means that the leaf caused the failure, which counts towards its ejection.
+		IsLeafFault bool
+		Timing      Timing
+	}
+
+	// UnknownOutcome means that the request failed and the leaf may have run it.
+	UnknownOutcome struct {
 		Attempt uint64
 		Reason  string
 		Timing  Timing
 	}
 
-	// Limits are the bounds of one query.
+	// Limits are the constraints of one query.
 	Limits struct {
-		Deadline     time.Duration
-		MinCoverage  float64
+		Deadline time.Duration
+		// MinCoverage is the share of shards, 0 to 1, that a partial answer needs.
+		MinCoverage float64
+		// HedgePercent is the number of hedges allowed per 100 first attempts.
 		HedgePercent float64
-		Idempotent   bool
-	}
-
-	// Tools are the shared decisions that a query uses.
-	Tools struct {
-		Chooser   *chooser.Chooser
-		Budget    *hedger.Budget
-		Quantile  *hedger.Quantile
-		NoHedges  bool
-		NextID    func() uint64
-		SendLimit time.Duration
-		// Avoid tells whether the owner of a leaf is unlikely to answer; such a leaf is asked last.
-		Avoid func(leaf assigner.LeafID) bool
-	}
-
-	// Query decides the course of one query; it belongs to one goroutine at a time.
+		// Idempotent allows hedges, and retries of requests that may have run.
+		Idempotent bool
+	}
+
+	// Dependencies are what a query shares with other queries.
+	Dependencies struct {
+		Chooser *chooser.Chooser
+		Budget  *hedger.Budget
+		// Quantile tracks the latency after which a hedge is sent.
+		Quantile       *hedger.Quantile
+		DisablesHedges bool
+		// NextAttemptID returns a new identifier for an attempt.
+		NextAttemptID func() uint64
+		// AttemptTimeout is the longest time that one attempt may take.
+		AttemptTimeout time.Duration
+		// ShouldAvoid reports whether the owner of a leaf is unlikely to answer, so that the leaf is used only as a last resort.
+		// It may be nil.
+		ShouldAvoid func(leaf assigner.LeafID) bool
+	}
+
+	// Query decides which requests of one query are sent, retried, hedged and cancelled; it is not safe for concurrent use.
 	Query struct {
-		limits    Limits
-		tools     Tools
-		plan      Plan
-		shards    []shardState
-		byAttempt map[uint64]int
-		records   []AttemptRecord
-		recordOf  map[uint64]int
-		answered  int
-		given     int
-		mayRun    bool
-		gone      bool
-		done      bool
-		restarts  int
+		limits         Limits
+		deps           Dependencies
+		plan           Plan
+		shards         []shardState
+		shardOfAttempt map[uint64]int
+		attempts       []AttemptRecord
+		attemptIndex   map[uint64]int
+		answeredCount  int
+		givenUpCount   int
+		mayHaveRun     bool
+		needsReplan    bool
+		done           bool
+		restarts       int
 	}
 
 	shardState struct {
-		live     map[uint64]assigner.LeafID
-		tries    map[assigner.LeafID]int
-		attempts int
-		body     []byte
-		answered bool
-		givenUp  bool
-		reason   string
-		hedgeAt  time.Duration
-		retryAt  time.Duration
-		barred   map[assigner.LeafID]bool
+		inFlight     map[uint64]assigner.LeafID
+		triesPerLeaf map[assigner.LeafID]int
+		attemptCount int
+		body         []byte
+		isAnswered   bool
+		isGivenUp    bool
+		reason       string
+		hedgeAt      time.Duration
+		retryAt      time.Duration
+		// excluded holds the leafs that answered for another version or shard, or no longer hold the version.
+		excluded map[assigner.LeafID]bool
 	}
 )
 
-func (Ask) isAction()       {}
-func (Cancel) isAction()    {}
-func (Finish) isAction()    {}
-func (StartOver) isAction() {}
+func (Send) isAction()   {}
+func (Cancel) isAction() {}
+func (Finish) isAction() {}
+func (Replan) isAction() {}
 
-func (r Hit) attempt() uint64     { return r.Attempt }
-func (r NotRun) attempt() uint64  { return r.Attempt }
-func (r Unknown) attempt() uint64 { return r.Attempt }
+func (r Success) attempt() uint64        { return r.Attempt }
+func (r NotRun) attempt() uint64         { return r.Attempt }
+func (r UnknownOutcome) attempt() uint64 { return r.Attempt }
 
-// NewQuery returns the query for a plan.
-func NewQuery(plan Plan, limits Limits, tools Tools) *Query {
-	query := &Query{limits: limits, tools: tools, recordOf: map[uint64]int{}}
+// NewQuery returns a query that runs the given plan.
+func NewQuery(plan Plan, limits Limits, deps Dependencies) *Query {
+	query := &Query{limits: limits, deps: deps, attemptIndex: map[uint64]int{}}
 	query.setPlan(plan)
 	return query
 }
 
-// Begin sends the first requests.
-func (q *Query) Begin(now time.Duration) []Action {
+// Start sends the first request for each shard.
+func (q *Query) Start(now time.Duration) []Action {
 	var actions []Action
 	for i := range q.shards {
-		q.tools.Budget.OnRequest(q.limits.HedgePercent)
-		actions = append(actions, q.ask(i, AttemptFirst, now)...)
+		q.deps.Budget.OnRequest(q.limits.HedgePercent)
+		actions = append(actions, q.send(i, AttemptFirst, now)...)
 	}
-	return append(actions, q.conclude(now)...)
+	return append(actions, q.finishIfDecided(now)...)
 }
 
-// Restart begins again with a newer plan after StartOver.
+// Restart cancels all requests in flight and starts again with a newer plan, after a Replan action.
 func (q *Query) Restart(plan Plan, now time.Duration) []Action {
 	actions := q.cancelAll(now)
 	q.restarts++
 	q.setPlan(plan)
-	return append(actions, q.Begin(now)...)
+	return append(actions, q.Start(now)...)
 }
 
-// Newer tells whether a plan is of a later version than the pinned one.
-func (q *Query) Newer(plan Plan) bool { return q.plan.Version.before(plan.Version) }
+// IsNewer reports whether the plan is of a later version than the current one.
+func (q *Query) IsNewer(plan Plan) bool { return q.plan.Version.isOlderThan(plan.Version) }
 
-// GiveUpRestart ends the query where no newer plan exists.
-func (q *Query) GiveUpRestart(now time.Duration) []Action {
-	q.gone = false
-	return q.conclude(now)
+// KeepPlan continues with the current plan after a Replan action for which there is no newer plan.
+func (q *Query) KeepPlan(now time.Duration) []Action {
+	q.needsReplan = false
+	return q.finishIfDecided(now)
 }
 
-// OnReply takes the end of one request; a reply to a request that is not outstanding changes nothing.
+// OnReply processes the reply to one request; a reply to a request that is not in flight is ignored.
 func (q *Query) OnReply(reply Reply, now time.Duration) []Action {
-	index, ok := q.byAttempt[reply.attempt()]
+	shardIndex, ok := q.shardOfAttempt[reply.attempt()]
 	if !ok || q.done {
 		return nil
 	}
-	shard := &q.shards[index]
-	leaf, live := shard.live[reply.attempt()]
-	if !live {
+	shard := &q.shards[shardIndex]
+	leaf, isInFlight := shard.inFlight[reply.attempt()]
+	if !isInFlight {
 		return nil
 	}
-	delete(shard.live, reply.attempt())
-	q.tools.Chooser.OnEnded(leaf)
+	delete(shard.inFlight, reply.attempt())
+	q.deps.Chooser.OnEnded(leaf)
 	var actions []Action
 	switch r := reply.(type) {
-	case Hit:
-		actions = q.onHit(index, leaf, r, now)
+	case Success:
+		actions = q.onSuccess(shardIndex, leaf, r, now)
 	case NotRun:
-		q.note(r.Attempt, now, "not-run: "+r.Reason, r.Timing)
-		actions = q.onNotRun(index, leaf, r, now)
-	case Unknown:
-		q.note(r.Attempt, now, "unknown: "+r.Reason, r.Timing)
-		q.mayRun = true
-		q.tools.Chooser.OnFault(leaf, now)
-		actions = q.onUnknown(index, r.Reason, now)
-	}
-	return append(actions, q.conclude(now)...)
+		q.recordEnd(r.Attempt, now, "not-run: "+r.Reason, r.Timing)
+		actions = q.onNotRun(shardIndex, leaf, r, now)
+	case UnknownOutcome:
+		q.recordEnd(r.Attempt, now, "unknown: "+r.Reason, r.Timing)
+		q.mayHaveRun = true
+		q.deps.Chooser.OnError(leaf, now)
+		actions = q.onUnknownOutcome(shardIndex, r.Reason, now)
+	}
+	return append(actions, q.finishIfDecided(now)...)
 }
 
-// OnTime sends hedges and postponed retries that are due and ends the query at its deadline.
-func (q *Query) OnTime(now time.Duration) []Action {
+// OnTimer sends the hedges and retries that are due, and ends the query at its deadline.
+func (q *Query) OnTimer(now time.Duration) []Action {
 	if q.done {
 		return nil
 	}
@@ -226,33 +241,33 @@
 	}
 	var actions []Action
 	for i := range q.shards {
-		actions = append(actions, q.onTimeShard(i, now)...)
+		actions = append(actions, q.onTimerShard(i, now)...)
 	}
-	return append(actions, q.conclude(now)...)
+	return append(actions, q.finishIfDecided(now)...)
 }
 
-// Done tells whether the query has ended, so that OnTime need not be called again.
+// Done reports whether the query has ended, after which OnTimer need not be called again.
 func (q *Query) Done() bool { return q.done }
 
-// Wake returns when OnTime should be called next.
-func (q *Query) Wake() time.Duration {
-	wake := q.limits.Deadline - answerMargin
+// WakeAt returns the time at which OnTimer is next due.
+func (q *Query) WakeAt() time.Duration {
+	next := q.limits.Deadline - answerMargin
 	for i := range q.shards {
 		shard := &q.shards[i]
-		if shard.answered || shard.givenUp {
+		if shard.isAnswered || shard.isGivenUp {
 			continue
 		}
 		if shard.retryAt > 0 {
-			wake = min(wake, shard.retryAt)
+			next = min(next, shard.retryAt)
 		}
-		if shard.hedgeAt > 0 && len(shard.live) == 1 {
-			wake = min(wake, shard.hedgeAt)
+		if shard.hedgeAt > 0 && len(shard.inFlight) == 1 {
+			next = min(next, shard.hedgeAt)
 		}
 	}
-	return wake
+	return next
 }
 
-// Abandon cancels everything after the caller has gone.
+// Abandon ends the query without an answer and cancels all requests in flight, after the caller has disconnected.
 func (q *Query) Abandon(now time.Duration) []Action {
 	if q.done {
 		return nil
@@ -264,99 +279,100 @@
 func (q *Query) setPlan(plan Plan) {
 	q.plan = plan
 	q.shards = make([]shardState, len(plan.Shards))
-	q.byAttempt = make(map[uint64]int, len(plan.Shards))
-	q.answered, q.given, q.gone = 0, 0, false
+	q.shardOfAttempt = make(map[uint64]int, len(plan.Shards))
+	q.answeredCount, q.givenUpCount, q.needsReplan = 0, 0, false
 	for i := range q.shards {
 		q.shards[i] = shardState{
-			live: map[uint64]assigner.LeafID{}, tries: map[assigner.LeafID]int{}, barred: map[assigner.LeafID]bool{},
+			inFlight: map[uint64]assigner.LeafID{}, triesPerLeaf: map[assigner.LeafID]int{}, excluded: map[assigner.LeafID]bool{},
 		}
 	}
 }
 
-func (q *Query) onHit(index int, leaf assigner.LeafID, hit Hit, now time.Duration) []Action {
-	shard := &q.shards[index]
-	q.mayRun = true
-	if hit.Version != q.plan.Version || hit.Shard != q.plan.Shards[index].Shard.Number {
-		q.note(hit.Attempt, now, ReasonWrongAnswer, hit.Timing)
-		q.tools.Chooser.OnFault(leaf, now)
-		shard.barred[leaf] = true
-		return q.onUnknown(index, ReasonWrongAnswer, now)
-	}
-	q.note(hit.Attempt, now, "answered", hit.Timing)
-	latency := now - q.records[q.recordOf[hit.Attempt]].Sent
-	q.tools.Chooser.OnAnswer(leaf, latency, now)
-	q.tools.Quantile.Add(latency)
-	if shard.answered {
+func (q *Query) onSuccess(shardIndex int, leaf assigner.LeafID, reply Success, now time.Duration) []Action {
+	shard := &q.shards[shardIndex]
+	q.mayHaveRun = true
+	if reply.Version != q.plan.Version || reply.Shard != q.plan.Shards[shardIndex].Shard.Number {
+		q.recordEnd(reply.Attempt, now, ReasonWrongAnswer, reply.Timing)
+		q.deps.Chooser.OnError(leaf, now)
+		shard.excluded[leaf] = true
+		return q.onUnknownOutcome(shardIndex, ReasonWrongAnswer, now)
+	}
+	q.recordEnd(reply.Attempt, now, "answered", reply.Timing)
+	latency := now - q.attempts[q.attemptIndex[reply.Attempt]].Sent
+	q.deps.Chooser.OnAnswer(leaf, latency, now)
+	q.deps.Quantile.Add(latency)
+	if shard.isAnswered {
 		return nil
 	}
-	if shard.givenUp {
-		shard.givenUp = false
-		q.given--
+	if shard.isGivenUp {
+		shard.isGivenUp = false
+		q.givenUpCount--
 	}
-	shard.answered = true
-	shard.body = hit.Body
-	q.answered++
+	shard.isAnswered = true
+	shard.body = reply.Body
+	q.answeredCount++
 	return q.cancelShard(shard, now)
 }
 
-func (q *Query) onNotRun(index int, leaf assigner.LeafID, reply NotRun, now time.Duration) []Action {
-	shard := &q.shards[index]
-	if reply.Sustained {
-		q.tools.Budget.OnOverload(now)
+func (q *Query) onNotRun(shardIndex int, leaf assigner.LeafID, reply NotRun, now time.Duration) []Action {
+	shard := &q.shards[shardIndex]
+	if reply.IsSustainedOverload {
+		q.deps.Budget.OnOverload(now)
 	}
-	if reply.LeafFaulty {
-		q.tools.Chooser.OnFault(leaf, now)
+	if reply.IsLeafFault {
+		q.deps.Chooser.OnError(leaf, now)
 	}
-	if reply.WrongPlan {
-		shard.barred[leaf] = true
+	if reply.IsVersionGone {
+		shard.excluded[leaf] = true
 	}
-	if q.records[q.recordOf[reply.Attempt]].Kind == AttemptHedge {
+	if q.attempts[q.attemptIndex[reply.Attempt]].Kind == AttemptHedge {
 		q.onHedgeRefused(shard, leaf, now)
 	}
-	if len(shard.live) > 0 || shard.answered {
+	if len(shard.inFlight) > 0 || shard.isAnswered {
 		return nil
 	}
 	shard.reason = reply.Reason
-	if q.allBarred(index) {
-		q.gone = true
-		q.giveUp(shard, ReasonVersionGone)
+	if q.allExcluded(shardIndex) {
+		q.needsReplan = true
+		q.giveUpShard(shard, ReasonVersionGone)
 		return nil
 	}
-	return q.askAgain(index, reply.Overload, reply.Overload, now)
+	return q.retry(shardIndex, reply.IsOverload, reply.IsOverload, now)
 }
 
-// onHedgeRefused takes the token back, and lets a hedge be tried again a little later.
+// onHedgeRefused returns the budget token of a hedge that did not run and allows another hedge after retryDelay.
 func (q *Query) onHedgeRefused(shard *shardState, leaf assigner.LeafID, now time.Duration) {
-	q.tools.Budget.ReturnHedge()
-	shard.tries[leaf]--
-	shard.hedgeAt = now + retryPause
+	q.deps.Budget.ReturnHedge()
+	shard.triesPerLeaf[leaf]--
+	shard.hedgeAt = now + retryDelay
 }
 
-func (q *Query) onUnknown(index int, reason string, now time.Duration) []Action {
-	shard := &q.shards[index]
-	if len(shard.live) > 0 || shard.answered {
+// onUnknownOutcome retries an idempotent request that may have run, and gives up the shard otherwise.
+func (q *Query) onUnknownOutcome(shardIndex int, reason string, now time.Duration) []Action {
+	shard := &q.shards[shardIndex]
+	if len(shard.inFlight) > 0 || shard.isAnswered {
 		return nil
 	}
 	shard.reason = reason
 	if !q.limits.Idempotent {
-		q.giveUp(shard, ReasonMayHaveRun)
+		q.giveUpShard(shard, ReasonMayHaveRun)
 		return nil
 	}
-	return q.askAgain(index, false, true, now)
+	return q.retry(shardIndex, false, true, now)
 }
 
-func (q *Query) onTimeShard(index int, now time.Duration) []Action {
-	shard := &q.shards[index]
-	if shard.answered || shard.givenUp {
+func (q *Query) onTimerShard(shardIndex int, now time.Duration) []Action {
+	shard := &q.shards[shardIndex]
+	if shard.isAnswered || shard.isGivenUp {
 		return nil
 	}
 	if shard.retryAt > 0 && now >= shard.retryAt {
 		shard.retryAt = 0
-		return q.ask(index, AttemptRetry, now)
+		return q.send(shardIndex, AttemptRetry, now)
 	}
-	if shard.hedgeAt == 0 || now < shard.hedgeAt || len(shard.live) != 1 {
+	if shard.hedgeAt == 0 || now < shard.hedgeAt || len(shard.inFlight) != 1 {
 		return nil
 	}
 	shard.hedgeAt = 0
-	return q.hedge(index, now)
+	return q.sendHedge(shardIndex, now)
 }
--- a/pkg/coordinator/query_ask.go
+++ b/pkg/coordinator/query_ask.go
@@ -7,119 +7,123 @@
 	"lovagedeck/pkg/chooser"
 )
 
-func (q *Query) ask(index int, kind AttemptKind, now time.Duration) []Action {
-	shard := &q.shards[index]
-	leaf, ok := q.pick(index, kind, now)
+// send sends a request for a shard to the replica that is chosen, and gives up the shard if there is none and no request
+// for it is in flight.
+func (q *Query) send(shardIndex int, kind AttemptKind, now time.Duration) []Action {
+	shard := &q.shards[shardIndex]
+	leaf, ok := q.chooseReplica(shardIndex, kind, now)
 	if !ok {
-		if kind != AttemptHedge && len(shard.live) == 0 {
-			q.giveUp(shard, ReasonNoReplica)
+		if kind != AttemptHedge && len(shard.inFlight) == 0 {
+			q.giveUpShard(shard, ReasonNoReplica)
 		}
 		return nil
 	}
-	id := q.tools.NextID()
-	shard.live[id] = leaf
-	shard.tries[leaf]++
-	shard.attempts++
+	id := q.deps.NextAttemptID()
+	shard.inFlight[id] = leaf
+	shard.triesPerLeaf[leaf]++
+	shard.attemptCount++
 	shard.retryAt = 0
 	shard.hedgeAt = 0
 	if kind != AttemptHedge {
-		shard.hedgeAt = now + q.tools.Quantile.Value()
+		shard.hedgeAt = now + q.deps.Quantile.Value()
 	}
-	q.byAttempt[id] = index
-	q.tools.Chooser.OnSent(leaf)
-	q.recordOf[id] = len(q.records)
-	q.records = append(q.records, AttemptRecord{
-		ID: id, Shard: q.plan.Shards[index].Shard, Leaf: leaf, Kind: kind, Sent: now, Version: q.plan.Version,
+	q.shardOfAttempt[id] = shardIndex
+	q.deps.Chooser.OnSent(leaf)
+	q.attemptIndex[id] = len(q.attempts)
+	q.attempts = append(q.attempts, AttemptRecord{
+		ID: id, Shard: q.plan.Shards[shardIndex].Shard, Leaf: leaf, Kind: kind, Sent: now, Version: q.plan.Version,
 	})
-	deadline := min(q.limits.Deadline-answerMargin, now+q.tools.SendLimit)
-	return []Action{Ask{
-		Attempt: id, Leaf: leaf, Shard: q.plan.Shards[index].Shard, Version: q.plan.Version,
-		Deadline: deadline, Hedge: kind == AttemptHedge,
+	deadline := min(q.limits.Deadline-answerMargin, now+q.deps.AttemptTimeout)
+	return []Action{Send{
+		Attempt: id, Leaf: leaf, Shard: q.plan.Shards[shardIndex].Shard, Version: q.plan.Version,
+		Deadline: deadline, IsHedge: kind == AttemptHedge,
 	}}
 }
 
-// pick returns the replica to ask, among those that were asked least often and whose owner answers.
-func (q *Query) pick(index int, kind AttemptKind, now time.Duration) (assigner.LeafID, bool) {
-	candidates, avoided := q.candidates(index, kind, now)
+// chooseReplica chooses among the replicas with the fewest attempts so far. Those whose owner is unlikely to answer are
+// used only if there is no other, and never for a hedge.
+func (q *Query) chooseReplica(shardIndex int, kind AttemptKind, now time.Duration) (assigner.LeafID, bool) {
+	candidates, avoided := q.candidates(shardIndex, kind, now)
 	if len(candidates) == 0 && kind != AttemptHedge {
 		candidates = avoided
 	}
-	chosen := q.tools.Chooser.Choose(candidates, now)
+	chosen := q.deps.Chooser.Choose(candidates, now)
 	if chosen < 0 {
 		return "", false
 	}
 	return candidates[chosen].Leaf, true
 }
 
-func (q *Query) candidates(index int, kind AttemptKind, now time.Duration) (good, avoided []chooser.Candidate) {
-	shard := &q.shards[index]
-	plan := q.plan.Shards[index]
-	fewest := q.fewestTries(index)
+func (q *Query) candidates(shardIndex int, kind AttemptKind, now time.Duration) (preferred, avoided []chooser.Candidate) {
+	shard := &q.shards[shardIndex]
+	plan := q.plan.Shards[shardIndex]
+	leastTries := q.minTries(shardIndex)
 	for i, leaf := range plan.Candidates {
-		if shard.barred[leaf] || shard.tries[leaf] != fewest {
+		if shard.excluded[leaf] || shard.triesPerLeaf[leaf] != leastTries {
 			continue
 		}
-		if kind == AttemptHedge && (fewest > 0 || !q.tools.Chooser.Usable(leaf, now)) {
+		if kind == AttemptHedge && (leastTries > 0 || !q.deps.Chooser.AllowsHedge(leaf, now)) {
 			continue
 		}
 		candidate := chooser.Candidate{Leaf: leaf, Weight: plan.Weights[i]}
-		if q.tools.Avoid != nil && q.tools.Avoid(leaf) {
+		if q.deps.ShouldAvoid != nil && q.deps.ShouldAvoid(leaf) {
 			avoided = append(avoided, candidate)
 			continue
 		}
-		good = append(good, candidate)
+		preferred = append(preferred, candidate)
 	}
-	return good, avoided
+	return preferred, avoided
 }
 
-func (q *Query) fewestTries(index int) int {
-	shard := &q.shards[index]
-	fewest := maxAttemptsPerShard
-	for _, leaf := range q.plan.Shards[index].Candidates {
-		if !shard.barred[leaf] {
-			fewest = min(fewest, shard.tries[leaf])
+func (q *Query) minTries(shardIndex int) int {
+	shard := &q.shards[shardIndex]
+	leastTries := maxAttemptsPerShard
+	for _, leaf := range q.plan.Shards[shardIndex].Candidates {
+		if !shard.excluded[leaf] {
+			leastTries = min(leastTries, shard.triesPerLeaf[leaf])
 		}
 	}
-	return fewest
+	return leastTries
 }
 
-// askAgain asks another replica at once, or the same ones after a pause. The budget covers what a leaf may receive
-// on top; a request that reached no leaf costs the leafs nothing.
-func (q *Query) askAgain(index int, overload, reachedLeaf bool, now time.Duration) []Action {
-	shard := &q.shards[index]
-	if shard.attempts >= maxAttemptsPerShard || (reachedLeaf && !q.tools.Budget.TakeRetry()) {
-		q.giveUp(shard, shard.reason)
+// retry sends the request to an untried replica at once, or schedules another attempt after retryDelay. The retry budget
+// bounds the additional load on the leafs: a retry needs a token if the request was refused for overload or may have
+// run. Other failed requests have added no load.
+func (q *Query) retry(shardIndex int, isOverload, needsToken bool, now time.Duration) []Action {
+	shard := &q.shards[shardIndex]
+	if shard.attemptCount >= maxAttemptsPerShard || (needsToken && !q.deps.Budget.TakeRetry()) {
+		q.giveUpShard(shard, shard.reason)
 		return nil
 	}
-	for _, leaf := range q.plan.Shards[index].Candidates {
-		if !shard.barred[leaf] && shard.tries[leaf] == 0 {
-			return q.ask(index, AttemptRetry, now)
+	for _, leaf := range q.plan.Shards[shardIndex].Candidates {
+		if !shard.excluded[leaf] && shard.triesPerLeaf[leaf] == 0 {
+			return q.send(shardIndex, AttemptRetry, now)
 		}
 	}
-	if overload || now+retryPause >= q.limits.Deadline-answerMargin {
-		q.giveUp(shard, shard.reason)
+	if isOverload || now+retryDelay >= q.limits.Deadline-answerMargin {
+		q.giveUpShard(shard, shard.reason)
 		return nil
 	}
-	shard.retryAt = now + retryPause
+	shard.retryAt = now + retryDelay
 	return nil
 }
 
-func (q *Query) hedge(index int, now time.Duration) []Action {
-	if !q.limits.Idempotent || q.tools.NoHedges {
+func (q *Query) sendHedge(shardIndex int, now time.Duration) []Action {
+	if !q.limits.Idempotent || q.deps.DisablesHedges {
 		return nil
 	}
-	if _, ok := q.pick(index, AttemptHedge, now); !ok {
+	if _, ok := q.chooseReplica(shardIndex, AttemptHedge, now); !ok {
 		return nil
 	}
-	if !q.tools.Budget.TakeHedge(now) {
+	if !q.deps.Budget.TakeHedge(now) {
 		return nil
 	}
-	return q.ask(index, AttemptHedge, now)
+	return q.send(shardIndex, AttemptHedge, now)
 }
 
-func (q *Query) allBarred(index int) bool {
-	for _, leaf := range q.plan.Shards[index].Candidates {
-		if !q.shards[index].barred[leaf] {
+func (q *Query) allExcluded(shardIndex int) bool {
+	for _, leaf := range q.plan.Shards[shardIndex].Candidates {
+		if !q.shards[shardIndex].excluded[leaf] {
 			return false
 		}
 	}
--- a/pkg/coordinator/query_finish.go
+++ b/pkg/coordinator/query_finish.go
@@ -4,69 +4,70 @@
 	"time"
 )
 
-func (q *Query) giveUp(shard *shardState, reason string) {
-	if shard.givenUp || shard.answered {
+func (q *Query) giveUpShard(shard *shardState, reason string) {
+	if shard.isGivenUp || shard.isAnswered {
 		return
 	}
-	shard.givenUp = true
+	shard.isGivenUp = true
 	shard.reason = reason
-	q.given++
+	q.givenUpCount++
 }
 
-// conclude ends the query when nothing more can come or the minimum coverage is out of reach.
-func (q *Query) conclude(now time.Duration) []Action {
+// finishIfDecided ends the query if every shard has answered or been given up, or if the minimum coverage can no longer
+// be reached. It requests a new plan instead if the planned version is gone and the query is idempotent.
+func (q *Query) finishIfDecided(now time.Duration) []Action {
 	if q.done {
 		return nil
 	}
-	if q.gone && q.limits.Idempotent {
-		return []Action{StartOver{}}
+	if q.needsReplan && q.limits.Idempotent {
+		return []Action{Replan{}}
 	}
-	if q.answered+q.given == len(q.shards) || !q.reachable() {
+	if q.answeredCount+q.givenUpCount == len(q.shards) || !q.canReachCoverage() {
 		return q.finish(now)
 	}
 	return nil
 }
 
-func (q *Query) reachable() bool {
-	best := float64(len(q.shards)-q.given) / float64(max(1, len(q.shards)))
-	return best >= q.limits.MinCoverage
+func (q *Query) canReachCoverage() bool {
+	bestCoverage := float64(len(q.shards)-q.givenUpCount) / float64(max(1, len(q.shards)))
+	return bestCoverage >= q.limits.MinCoverage
 }
 
 func (q *Query) finish(now time.Duration) []Action {
-	outstanding := q.outstanding()
+	inFlight := q.countInFlight()
 	actions := q.cancelAll(now)
 	q.done = true
 	answer := Answer{
-		Version: q.plan.Version, Answered: q.answered, Total: len(q.shards), Attempts: q.records, Restarts: q.restarts,
+		Version: q.plan.Version, Answered: q.answeredCount, Total: len(q.shards), Attempts: q.attempts, Restarts: q.restarts,
 	}
 	for i := range q.shards {
-		q.fill(&answer, i, now >= q.limits.Deadline-answerMargin)
+		q.addShard(&answer, i, now >= q.limits.Deadline-answerMargin)
 	}
-	answer.Outcome = q.outcome(answer, outstanding)
+	answer.Outcome = q.outcome(answer, inFlight)
 	if answer.Outcome != OutcomeComplete {
 		answer.Reason = mainReason(answer.Missing)
 	}
 	return append(actions, Finish{Answer: answer})
 }
 
-func (q *Query) fill(answer *Answer, index int, atDeadline bool) {
-	shard := &q.shards[index]
-	name := q.plan.Shards[index].Shard
-	if shard.answered {
-		answer.Parts = append(answer.Parts, Part{Shard: name, Body: shard.body})
+func (q *Query) addShard(answer *Answer, shardIndex int, atDeadline bool) {
+	shard := &q.shards[shardIndex]
+	shardName := q.plan.Shards[shardIndex].Shard
+	if shard.isAnswered {
+		answer.Parts = append(answer.Parts, Part{Shard: shardName, Body: shard.body})
 		return
 	}
 	reason := shard.reason
-	if !shard.givenUp || reason == "" {
+	if !shard.isGivenUp || reason == "" {
 		reason = ReasonNotAwaited
 		if atDeadline {
 			reason = ReasonDeadline
 		}
 	}
-	answer.Missing = append(answer.Missing, MissingShard{Shard: name, Reason: reason})
+	answer.Missing = append(answer.Missing, MissingShard{Shard: shardName, Reason: reason})
 }
 
-// mainReason returns the reason of the first shard that was given up, else that of the first missing one.
+// mainReason returns the first reason other than ReasonNotAwaited, or ReasonNotAwaited if there is none.
 func mainReason(missing []MissingShard) string {
 	for _, m := range missing {
 		if m.Reason != ReasonNotAwaited {
@@ -76,23 +77,23 @@
 	return ReasonNotAwaited
 }
 
-func (q *Query) outcome(answer Answer, outstanding int) Outcome {
+func (q *Query) outcome(answer Answer, inFlight int) Outcome {
 	if answer.Total > 0 && answer.Answered == answer.Total {
 		return OutcomeComplete
 	}
 	if answer.Answered > 0 && answer.Coverage() >= q.limits.MinCoverage {
 		return OutcomePartial
 	}
-	if !q.mayRun && outstanding == 0 {
+	if !q.mayHaveRun && inFlight == 0 {
 		return OutcomeRefused
 	}
 	return OutcomeFailed
 }
 
-func (q *Query) outstanding() int {
+func (q *Query) countInFlight() int {
 	count := 0
 	for i := range q.shards {
-		count += len(q.shards[i].live)
+		count += len(q.shards[i].inFlight)
 	}
 	return count
 }
@@ -107,19 +108,19 @@
 
 func (q *Query) cancelShard(shard *shardState, now time.Duration) []Action {
 	var actions []Action
-	for id, leaf := range shard.live {
-		q.mayRun = true
-		q.tools.Chooser.OnEnded(leaf)
-		q.tools.Chooser.OnLate(leaf, now-q.records[q.recordOf[id]].Sent, now)
-		q.note(id, now, "cancelled", Timing{})
+	for id, leaf := range shard.inFlight {
+		q.mayHaveRun = true
+		q.deps.Chooser.OnEnded(leaf)
+		q.deps.Chooser.OnCancelled(leaf, now-q.attempts[q.attemptIndex[id]].Sent, now)
+		q.recordEnd(id, now, "cancelled", Timing{})
 		actions = append(actions, Cancel{Attempt: id, Leaf: leaf})
 	}
-	clear(shard.live)
+	clear(shard.inFlight)
 	return actions
 }
 
-func (q *Query) note(id uint64, now time.Duration, result string, timing Timing) {
-	record := &q.records[q.recordOf[id]]
+func (q *Query) recordEnd(id uint64, now time.Duration, result string, timing Timing) {
+	record := &q.attempts[q.attemptIndex[id]]
 	record.Ended = now
 	record.Result = result
 	record.Timing = timing
--- a/pkg/coordinator/query_test.go
+++ b/pkg/coordinator/query_test.go
@@ -11,20 +11,21 @@
 	"lovagedeck/pkg/hedger"
 )
 
-var pinned = Version{Index: "i", Number: 7}
+var testVersion = Version{Index: "i", Number: 7}
 
-type scene struct {
-	t       *testing.T
-	query   *Query
-	nextID  uint64
-	asks    map[uint64]Ask
-	cancels []uint64
-	answer  *Answer
-	over    bool
+// queryTest runs a query and records the actions that it returns.
+type queryTest struct {
+	t         *testing.T
+	query     *Query
+	nextID    uint64
+	inFlight  map[uint64]Send
+	cancelled []uint64
+	answer    *Answer
+	replans   bool
 }
 
-func plan(shards int, replicas ...assigner.LeafID) Plan {
-	p := Plan{Version: pinned}
+func newPlan(shards int, replicas ...assigner.LeafID) Plan {
+	p := Plan{Version: testVersion}
 	for i := range shards {
 		shard := ShardPlan{Shard: Shard{Service: "s", Number: i}}
 		for _, replica := range replicas {
@@ -36,288 +37,289 @@
 	return p
 }
 
-func newScene(t *testing.T, p Plan, limits Limits) *scene {
+func startQuery(t *testing.T, p Plan, limits Limits) *queryTest {
 	t.Helper()
-	s := &scene{t: t, asks: map[uint64]Ask{}}
+	qt := &queryTest{t: t, inFlight: map[uint64]Send{}}
 	if limits.Deadline == 0 {
 		limits.Deadline = 100 * time.Millisecond
 	}
-	s.query = NewQuery(p, limits, Tools{
+	qt.query = NewQuery(p, limits, Dependencies{
 		Chooser: chooser.New(rand.New(rand.NewPCG(1, 1))), Budget: hedger.NewBudget(), Quantile: hedger.NewQuantile(0.95),
-		NextID: func() uint64 { s.nextID++; return s.nextID }, SendLimit: time.Second,
+		NextAttemptID: func() uint64 { qt.nextID++; return qt.nextID }, AttemptTimeout: time.Second,
 	})
-	s.take(s.query.Begin(0))
-	return s
+	qt.apply(qt.query.Start(0))
+	return qt
 }
 
-func (s *scene) take(actions []Action) {
+func (qt *queryTest) apply(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case Ask:
-			s.asks[a.Attempt] = a
+		case Send:
+			qt.inFlight[a.Attempt] = a
 		case Cancel:
-			delete(s.asks, a.Attempt)
-			s.cancels = append(s.cancels, a.Attempt)
+			delete(qt.inFlight, a.Attempt)
+			qt.cancelled = append(qt.cancelled, a.Attempt)
 		case Finish:
-			s.answer = &a.Answer
-		case StartOver:
-			s.over = true
+			qt.answer = &a.Answer
+		case Replan:
+			qt.replans = true
 		}
 	}
 }
 
-func (s *scene) askFor(shard int) Ask {
-	s.t.Helper()
-	for _, ask := range s.asks {
-		if ask.Shard.Number == shard {
-			return ask
+func (qt *queryTest) requestFor(shard int) Send {
+	qt.t.Helper()
+	for _, request := range qt.inFlight {
+		if request.Shard.Number == shard {
+			return request
 		}
 	}
-	s.t.Fatalf("no request for shard %d is outstanding", shard)
-	return Ask{}
+	qt.t.Fatalf("no request for shard %d is in flight, want one", shard)
+	return Send{}
 }
 
-func (s *scene) hit(shard int, at time.Duration) {
-	s.t.Helper()
-	ask := s.askFor(shard)
-	delete(s.asks, ask.Attempt)
-	s.take(s.query.OnReply(Hit{Attempt: ask.Attempt, Version: pinned, Shard: shard, Body: []byte("x")}, at))
+func (qt *queryTest) succeed(shard int, at time.Duration) {
+	qt.t.Helper()
+	request := qt.requestFor(shard)
+	delete(qt.inFlight, request.Attempt)
+	qt.apply(qt.query.OnReply(Success{Attempt: request.Attempt, Version: testVersion, Shard: shard, Body: []byte("x")}, at))
 }
 
-func (s *scene) notRun(shard int, at time.Duration) {
-	s.t.Helper()
-	ask := s.askFor(shard)
-	delete(s.asks, ask.Attempt)
-	s.take(s.query.OnReply(NotRun{Attempt: ask.Attempt, Reason: "queue-full"}, at))
+func (qt *queryTest) notRun(shard int, at time.Duration) {
+	qt.t.Helper()
+	request := qt.requestFor(shard)
+	delete(qt.inFlight, request.Attempt)
+	qt.apply(qt.query.OnReply(NotRun{Attempt: request.Attempt, Reason: "queue-full"}, at))
 }
 
-func (s *scene) unknown(shard int, at time.Duration) {
-	s.t.Helper()
-	ask := s.askFor(shard)
-	delete(s.asks, ask.Attempt)
-	s.take(s.query.OnReply(Unknown{Attempt: ask.Attempt, Reason: "read"}, at))
+func (qt *queryTest) unknown(shard int, at time.Duration) {
+	qt.t.Helper()
+	request := qt.requestFor(shard)
+	delete(qt.inFlight, request.Attempt)
+	qt.apply(qt.query.OnReply(UnknownOutcome{Attempt: request.Attempt, Reason: "read"}, at))
 }
 
-func (s *scene) want(outcome Outcome, answered, missing int) {
-	s.t.Helper()
-	if s.answer == nil {
-		s.t.Fatal("the query has not ended")
+func (qt *queryTest) checkEnd(outcome Outcome, answered, missing int) {
+	qt.t.Helper()
+	if qt.answer == nil {
+		qt.t.Fatalf("the query returned no answer, want outcome %s", outcome)
 	}
-	if s.answer.Outcome != outcome || s.answer.Answered != answered || len(s.answer.Missing) != missing {
-		s.t.Fatalf("%s with %d answered and %d missing, want %s, %d, %d",
-			s.answer.Outcome, s.answer.Answered, len(s.answer.Missing), outcome, answered, missing)
+	if qt.answer.Outcome != outcome || qt.answer.Answered != answered || len(qt.answer.Missing) != missing {
+		qt.t.Fatalf("got %s with %d shards answered and %d missing, want %s, %d and %d",
+			qt.answer.Outcome, qt.answer.Answered, len(qt.answer.Missing), outcome, answered, missing)
 	}
-	if len(s.asks) != 0 {
-		s.t.Fatalf("%d requests stay outstanding", len(s.asks))
+	if len(qt.inFlight) != 0 {
+		qt.t.Fatalf("%d requests in flight after the end of the query, want 0", len(qt.inFlight))
 	}
-	if !s.query.Done() {
-		s.t.Fatal("the query is not done")
+	if !qt.query.Done() {
+		qt.t.Fatal("Done returned false after the end of the query, want true")
 	}
 }
 
 func TestOutcomes(t *testing.T) {
-	late := 99 * time.Millisecond
+	end := 99 * time.Millisecond
 	tests := []struct {
-		name     string
-		limits   Limits
-		replicas []assigner.LeafID
-		act      func(s *scene)
-		outcome  Outcome
-		answered int
-		missing  int
+		name         string
+		limits       Limits
+		replicas     []assigner.LeafID
+		act          func(qt *queryTest)
+		wantOutcome  Outcome
+		wantAnswered int
+		wantMissing  int
 	}{
-		{"all answer", Limits{Idempotent: true}, []assigner.LeafID{"a"}, func(s *scene) { s.hit(0, 1); s.hit(1, 2) }, OutcomeComplete, 2, 0},
+		{"all shards answer", Limits{Idempotent: true}, []assigner.LeafID{"a"}, func(qt *queryTest) { qt.succeed(0, 1); qt.succeed(1, 2) }, OutcomeComplete, 2, 0},
 		{
-			"one is late and half is enough",
+			"half of the shards answer, half needed",
 			Limits{Idempotent: true, MinCoverage: 0.5},
 			[]assigner.LeafID{"a"},
-			func(s *scene) { s.hit(0, 1); s.take(s.query.OnTime(late)) }, OutcomePartial, 1, 1,
+			func(qt *queryTest) { qt.succeed(0, 1); qt.apply(qt.query.OnTimer(end)) }, OutcomePartial, 1, 1,
 		},
 		{
-			"one is late and all are needed",
+			"half of the shards answer, all needed",
 			Limits{Idempotent: true, MinCoverage: 1},
 			[]assigner.LeafID{"a"},
-			func(s *scene) { s.hit(0, 1); s.take(s.query.OnTime(late)) }, OutcomeFailed, 1, 1,
+			func(qt *queryTest) { qt.succeed(0, 1); qt.apply(qt.query.OnTimer(end)) }, OutcomeFailed, 1, 1,
 		},
 		{
-			"without an idempotent request nothing is sent twice",
+			"request that may have run is not idempotent",
 			Limits{MinCoverage: 1},
 			[]assigner.LeafID{"a", "b"},
-			func(s *scene) { s.unknown(0, 1) }, OutcomeFailed, 0, 2,
+			func(qt *queryTest) { qt.unknown(0, 1) }, OutcomeFailed, 0, 2,
 		},
-		{"nobody to ask", Limits{Idempotent: true}, nil, func(*scene) {}, OutcomeRefused, 0, 2},
+		{"no replicas", Limits{Idempotent: true}, nil, func(*queryTest) {}, OutcomeRefused, 0, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newScene(t, plan(2, test.replicas...), test.limits)
-			test.act(s)
-			if s.answer == nil {
-				s.take(s.query.OnTime(late))
+			qt := startQuery(t, newPlan(2, test.replicas...), test.limits)
+			test.act(qt)
+			if qt.answer == nil {
+				qt.apply(qt.query.OnTimer(end))
 			}
-			s.want(test.outcome, test.answered, test.missing)
+			qt.checkEnd(test.wantOutcome, test.wantAnswered, test.wantMissing)
 		})
 	}
 }
 
-func TestRefusalOnlyWhereNothingRan(t *testing.T) {
-	s := newScene(t, plan(1, "a"), Limits{Idempotent: true, MinCoverage: 1})
-	for s.answer == nil {
-		if len(s.asks) > 0 {
-			s.notRun(0, 0)
+func TestRefusedIfNothingRan(t *testing.T) {
+	qt := startQuery(t, newPlan(1, "a"), Limits{Idempotent: true, MinCoverage: 1})
+	for qt.answer == nil {
+		if len(qt.inFlight) > 0 {
+			qt.notRun(0, 0)
 			continue
 		}
-		s.take(s.query.OnTime(s.query.Wake()))
+		qt.apply(qt.query.OnTimer(qt.query.WakeAt()))
 	}
-	s.want(OutcomeRefused, 0, 1)
+	qt.checkEnd(OutcomeRefused, 0, 1)
 }
 
-func TestOutstandingRequestIsNoRefusal(t *testing.T) {
-	s := newScene(t, plan(1, "a"), Limits{Idempotent: true, MinCoverage: 1})
-	s.take(s.query.OnTime(99 * time.Millisecond))
-	s.want(OutcomeFailed, 0, 1)
+func TestNotRefusedWithRequestInFlight(t *testing.T) {
+	qt := startQuery(t, newPlan(1, "a"), Limits{Idempotent: true, MinCoverage: 1})
+	qt.apply(qt.query.OnTimer(99 * time.Millisecond))
+	qt.checkEnd(OutcomeFailed, 0, 1)
 }
 
-func TestWrongAnswersAreNotMerged(t *testing.T) {
+func TestWrongAnswerIsRetriedElsewhere(t *testing.T) {
 	tests := []struct {
-		name string
-		hit  Hit
+		name  string
+		reply Success
 	}{
-		{"another version", Hit{Version: Version{Index: "i", Number: 8}, Shard: 0}},
-		{"another index", Hit{Version: Version{Index: "j", Number: 7}, Shard: 0}},
-		{"another shard", Hit{Version: pinned, Shard: 1}},
+		{"another version", Success{Version: Version{Index: "i", Number: 8}, Shard: 0}},
+		{"another index", Success{Version: Version{Index: "j", Number: 7}, Shard: 0}},
+		{"another shard", Success{Version: testVersion, Shard: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newScene(t, plan(1, "a", "b"), Limits{Idempotent: true, MinCoverage: 1})
-			first := s.askFor(0)
-			delete(s.asks, first.Attempt)
-			test.hit.Attempt = first.Attempt
-			s.take(s.query.OnReply(test.hit, 1))
-			if s.answer != nil {
-				t.Fatalf("ended as %s", s.answer.Outcome)
+			qt := startQuery(t, newPlan(1, "a", "b"), Limits{Idempotent: true, MinCoverage: 1})
+			first := qt.requestFor(0)
+			delete(qt.inFlight, first.Attempt)
+			test.reply.Attempt = first.Attempt
+			qt.apply(qt.query.OnReply(test.reply, 1))
+			if qt.answer != nil {
+				t.Fatalf("the query ended as %s after a wrong answer, want a retry", qt.answer.Outcome)
 			}
-			if again := s.askFor(0); again.Leaf == first.Leaf {
-				t.Fatal("the leaf that answered wrongly was asked again")
+			if retry := qt.requestFor(0); retry.Leaf == first.Leaf {
+				t.Fatalf("the retry went to leaf %s, which answered wrongly; want another leaf", retry.Leaf)
 			}
-			s.hit(0, 2)
-			s.want(OutcomeComplete, 1, 0)
+			qt.succeed(0, 2)
+			qt.checkEnd(OutcomeComplete, 1, 0)
 		})
 	}
 }
 
-func TestLateAndRepeatedRepliesChangeNothing(t *testing.T) {
-	s := newScene(t, plan(1, "a"), Limits{Idempotent: true})
-	ask := s.askFor(0)
-	s.hit(0, 1)
+func TestLateAndDuplicateRepliesAreIgnored(t *testing.T) {
+	qt := startQuery(t, newPlan(1, "a"), Limits{Idempotent: true})
+	request := qt.requestFor(0)
+	qt.succeed(0, 1)
 	for _, reply := range []Reply{
-		Hit{Attempt: ask.Attempt, Version: pinned}, NotRun{Attempt: ask.Attempt}, Unknown{Attempt: ask.Attempt}, Hit{Attempt: 999, Version: pinned},
+		Success{Attempt: request.Attempt, Version: testVersion}, NotRun{Attempt: request.Attempt}, UnknownOutcome{Attempt: request.Attempt}, Success{Attempt: 999, Version: testVersion},
 	} {
-		if actions := s.query.OnReply(reply, 2); len(actions) != 0 {
-			t.Fatalf("%T after the end gave %v", reply, actions)
+		if actions := qt.query.OnReply(reply, 2); len(actions) != 0 {
+			t.Fatalf("%T after the end: got actions %v, want none", reply, actions)
 		}
 	}
-	if actions := s.query.OnTime(time.Hour); len(actions) != 0 {
-		t.Fatalf("time after the end gave %v", actions)
+	if actions := qt.query.OnTimer(time.Hour); len(actions) != 0 {
+		t.Fatalf("timer after the end: got actions %v, want none", actions)
 	}
 }
 
-func TestHedge(t *testing.T) {
+func TestHedgeOnlyIfIdempotent(t *testing.T) {
 	tests := []struct {
-		name   string
-		limits Limits
-		hedges int
+		name       string
+		limits     Limits
+		wantHedges int
 	}{
 		{"idempotent", Limits{Idempotent: true, HedgePercent: 4}, 1},
 		{"not idempotent", Limits{HedgePercent: 4}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newScene(t, plan(1, "a", "b"), test.limits)
-			s.take(s.query.OnTime(s.query.Wake()))
-			if got := len(s.asks) - 1; got != test.hedges {
-				t.Fatalf("%d hedges, want %d", got, test.hedges)
+			qt := startQuery(t, newPlan(1, "a", "b"), test.limits)
+			qt.apply(qt.query.OnTimer(qt.query.WakeAt()))
+			if got := len(qt.inFlight) - 1; got != test.wantHedges {
+				t.Fatalf("got %d hedges, want %d", got, test.wantHedges)
 			}
-			s.hit(0, 30*time.Millisecond)
-			s.want(OutcomeComplete, 1, 0)
-			if len(s.cancels) != test.hedges {
-				t.Fatalf("%d requests cancelled, want %d", len(s.cancels), test.hedges)
+			qt.succeed(0, 30*time.Millisecond)
+			qt.checkEnd(OutcomeComplete, 1, 0)
+			if len(qt.cancelled) != test.wantHedges {
+				t.Fatalf("got %d requests cancelled, want %d", len(qt.cancelled), test.wantHedges)
 			}
 		})
 	}
 }
 
-func TestVersionGoneStartsOver(t *testing.T) {
-	s := newScene(t, plan(2, "a"), Limits{Idempotent: true, MinCoverage: 1})
-	ask := s.askFor(0)
-	delete(s.asks, ask.Attempt)
-	s.take(s.query.OnReply(NotRun{Attempt: ask.Attempt, Reason: "version-gone", WrongPlan: true}, 1))
-	if !s.over {
-		t.Fatal("the query did not ask for a newer plan")
+func TestVersionGoneRestartsQuery(t *testing.T) {
+	qt := startQuery(t, newPlan(2, "a"), Limits{Idempotent: true, MinCoverage: 1})
+	request := qt.requestFor(0)
+	delete(qt.inFlight, request.Attempt)
+	qt.apply(qt.query.OnReply(NotRun{Attempt: request.Attempt, Reason: "version-gone", IsVersionGone: true}, 1))
+	if !qt.replans {
+		t.Fatal("got no Replan action after the version was gone, want one")
 	}
-	newer := plan(1, "a")
+	newer := newPlan(1, "a")
 	newer.Version.Number++
-	if !s.query.Newer(newer) || s.query.Newer(plan(1, "a")) {
-		t.Fatal("Newer does not compare versions")
+	if !qt.query.IsNewer(newer) || qt.query.IsNewer(newPlan(1, "a")) {
+		t.Fatalf("IsNewer: got %t for a newer version and %t for the same, want true and false",
+			qt.query.IsNewer(newer), qt.query.IsNewer(newPlan(1, "a")))
 	}
-	s.take(s.query.Restart(newer, 2))
-	again := s.askFor(0)
-	if again.Version != newer.Version {
-		t.Fatalf("asked at %v", again.Version)
+	qt.apply(qt.query.Restart(newer, 2))
+	retry := qt.requestFor(0)
+	if retry.Version != newer.Version {
+		t.Fatalf("request after the restart has version %v, want %v", retry.Version, newer.Version)
 	}
-	s.take(s.query.OnReply(Hit{Attempt: again.Attempt, Version: newer.Version, Shard: 0}, 3))
-	if s.answer == nil || s.answer.Total != 1 || s.answer.Version != newer.Version || s.answer.Restarts != 1 {
-		t.Fatalf("answer %+v", s.answer)
+	qt.apply(qt.query.OnReply(Success{Attempt: retry.Attempt, Version: newer.Version, Shard: 0}, 3))
+	if qt.answer == nil || qt.answer.Total != 1 || qt.answer.Version != newer.Version || qt.answer.Restarts != 1 {
+		t.Fatalf("got answer %+v, want 1 shard of version %v after 1 restart", qt.answer, newer.Version)
 	}
 }
 
-func TestVersionGoneWithoutANewerOne(t *testing.T) {
-	s := newScene(t, plan(2, "a"), Limits{Idempotent: true, MinCoverage: 0.5})
-	ask := s.askFor(0)
-	delete(s.asks, ask.Attempt)
-	s.take(s.query.OnReply(NotRun{Attempt: ask.Attempt, WrongPlan: true}, 1))
-	s.take(s.query.GiveUpRestart(1))
-	s.hit(1, 2)
-	s.want(OutcomePartial, 1, 1)
-	if s.answer.Missing[0].Reason != ReasonVersionGone {
-		t.Fatalf("reason %q", s.answer.Missing[0].Reason)
+func TestVersionGoneWithoutNewerVersion(t *testing.T) {
+	qt := startQuery(t, newPlan(2, "a"), Limits{Idempotent: true, MinCoverage: 0.5})
+	request := qt.requestFor(0)
+	delete(qt.inFlight, request.Attempt)
+	qt.apply(qt.query.OnReply(NotRun{Attempt: request.Attempt, IsVersionGone: true}, 1))
+	qt.apply(qt.query.KeepPlan(1))
+	qt.succeed(1, 2)
+	qt.checkEnd(OutcomePartial, 1, 1)
+	if qt.answer.Missing[0].Reason != ReasonVersionGone {
+		t.Fatalf("got reason %q for the missing shard, want %q", qt.answer.Missing[0].Reason, ReasonVersionGone)
 	}
 }
 
-func TestSilentOwnersAreAskedLast(t *testing.T) {
+func TestAvoidedLeafIsLastResort(t *testing.T) {
 	for seed := range uint64(20) {
-		q := NewQuery(plan(1, "a", "b"), Limits{Deadline: time.Second, Idempotent: true}, Tools{
+		q := NewQuery(newPlan(1, "a", "b"), Limits{Deadline: time.Second, Idempotent: true}, Dependencies{
 			Chooser: chooser.New(rand.New(rand.NewPCG(seed, 1))), Budget: hedger.NewBudget(), Quantile: hedger.NewQuantile(0.95),
-			NextID: func() uint64 { return 1 }, SendLimit: time.Second, Avoid: func(leaf assigner.LeafID) bool { return leaf == "a-0" },
+			NextAttemptID: func() uint64 { return 1 }, AttemptTimeout: time.Second, ShouldAvoid: func(leaf assigner.LeafID) bool { return leaf == "a-0" },
 		})
-		if ask := q.Begin(0)[0].(Ask); ask.Leaf != "b-0" {
-			t.Fatalf("asked %s, whose owner is silent", ask.Leaf)
+		if request := q.Start(0)[0].(Send); request.Leaf != "b-0" {
+			t.Fatalf("seed %d: request sent to leaf %s, want b-0 since a-0 is to be avoided", seed, request.Leaf)
 		}
 	}
 }
 
-func TestRequestThatMayHaveRunIsSentAgainOnlyWhereIdempotent(t *testing.T) {
+func TestRequestThatMayHaveRunIsRetriedOnlyIfIdempotent(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
-		s := newScene(t, plan(2, "a", "b"), Limits{Idempotent: idempotent})
-		sent := s.nextID
-		s.unknown(0, 1)
-		if again := s.nextID > sent; again != idempotent {
-			t.Errorf("idempotent %t: sent again %t", idempotent, again)
+		qt := startQuery(t, newPlan(2, "a", "b"), Limits{Idempotent: idempotent})
+		lastID := qt.nextID
+		qt.unknown(0, 1)
+		if isRetried := qt.nextID > lastID; isRetried != idempotent {
+			t.Errorf("idempotent %t: got retry %t, want %t", idempotent, isRetried, idempotent)
 		}
 	}
 }
 
-func TestRefusedHedgeIsTriedAgain(t *testing.T) {
-	s := newScene(t, plan(1, "a", "b"), Limits{Idempotent: true, HedgePercent: 4})
-	s.take(s.query.OnTime(s.query.Wake()))
-	for _, ask := range s.asks {
-		if ask.Hedge {
-			delete(s.asks, ask.Attempt)
-			s.take(s.query.OnReply(NotRun{Attempt: ask.Attempt, Reason: "leaf-busy"}, 30*time.Millisecond))
+func TestRefusedHedgeIsRetried(t *testing.T) {
+	qt := startQuery(t, newPlan(1, "a", "b"), Limits{Idempotent: true, HedgePercent: 4})
+	qt.apply(qt.query.OnTimer(qt.query.WakeAt()))
+	for _, request := range qt.inFlight {
+		if request.IsHedge {
+			delete(qt.inFlight, request.Attempt)
+			qt.apply(qt.query.OnReply(NotRun{Attempt: request.Attempt, Reason: "leaf-busy"}, 30*time.Millisecond))
 		}
 	}
-	sent := s.nextID
-	s.take(s.query.OnTime(30*time.Millisecond + retryPause))
-	if s.nextID != sent+1 {
-		t.Fatal("no further hedge after one was refused")
+	lastID := qt.nextID
+	qt.apply(qt.query.OnTimer(30*time.Millisecond + retryDelay))
+	if qt.nextID != lastID+1 {
+		t.Fatalf("got %d requests sent %s after a hedge was refused, want 1", qt.nextID-lastID, retryDelay)
 	}
 }
--- a/pkg/dispatcher/convert.go
+++ b/pkg/dispatcher/convert.go
@@ -21,27 +21,27 @@
 func toReport(c fellow.Condition) chooser.Report {
 	return chooser.Report{
 		Limit: c.Limit, Running: c.Running, Queued: c.Queued, Latency: c.Latency,
-		Threshold: c.Threshold, Resting: c.Resting, Cold: c.Cold,
+		Threshold: c.Threshold, InBackoff: c.Resting, IsCold: c.Cold,
 	}
 }
 
 func toReply(reply fellow.Reply) coordinator.Reply {
 	timing := coordinator.Timing{
-		Queue: reply.Queue, Connect: reply.Connect, Leaf: reply.LeafTime, Limit: int(reply.Condition.Limit),
-		Slots: reply.Condition.Slots, ClosedFor: reply.Condition.ClosedFor, ClosedReason: reply.Condition.ClosedReason,
+		QueueTime: reply.Queue, ConnectTime: reply.Connect, LeafTime: reply.LeafTime, Limit: int(reply.Condition.Limit),
+		Slots: reply.Condition.Slots, SinceLimitReset: reply.Condition.ClosedFor, LimitResetReason: reply.Condition.ClosedReason,
 	}
 	switch reply.Kind {
 	case fellow.KindHit:
-		return coordinator.Hit{
+		return coordinator.Success{
 			Attempt: reply.ID, Version: coordinator.Version{Index: reply.Index, Number: reply.Version},
 			Shard: reply.Shard, Body: reply.Body, Timing: timing,
 		}
 	case fellow.KindNotRun:
 		return coordinator.NotRun{
-			Attempt: reply.ID, Reason: reply.Reason, Overload: reply.Overload,
-			Sustained: reply.Reason == leaf.ReasonShed || reply.Reason == string(admitter.RefusedPriority),
-			WrongPlan: reply.Reason == leaf.ReasonVersionGone, LeafFaulty: reply.Faulty, Timing: timing,
+			Attempt: reply.ID, Reason: reply.Reason, IsOverload: reply.Overload,
+			IsSustainedOverload: reply.Reason == leaf.ReasonShed || reply.Reason == string(admitter.RefusedPriority),
+			IsVersionGone:       reply.Reason == leaf.ReasonVersionGone, IsLeafFault: reply.Faulty, Timing: timing,
 		}
 	}
-	return coordinator.Unknown{Attempt: reply.ID, Reason: reply.Reason, Timing: timing}
+	return coordinator.UnknownOutcome{Attempt: reply.ID, Reason: reply.Reason, Timing: timing}
 }
--- a/pkg/dispatcher/course.go
+++ b/pkg/dispatcher/course.go
@@ -29,7 +29,7 @@
 func (d *Dispatcher) onTime(c *course) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(c, c.query.OnTime(d.config.Now()))
+	d.carryOut(c, c.query.OnTimer(d.config.Now()))
 }
 
 func (d *Dispatcher) abandon(c *course) coordinator.Answer {
@@ -49,7 +49,7 @@
 func (d *Dispatcher) onReply(reply fellow.Reply) {
 	now := d.config.Now()
 	leaf := assigner.LeafID(reply.Leaf)
-	d.catalogue.Learn(leaf, toHoldings(reply.Holdings))
+	d.catalogue.SetHoldings(leaf, toHoldings(reply.Holdings))
 	if reply.Condition.Known {
 		d.chooser.OnReport(leaf, toReport(reply.Condition), now)
 	}
@@ -68,14 +68,14 @@
 func (d *Dispatcher) carryOut(c *course, actions []coordinator.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case coordinator.Ask:
+		case coordinator.Send:
 			d.ask(c, a)
 		case coordinator.Cancel:
 			delete(d.running, a.Attempt)
 			if owner, ok := c.owners[a.Attempt]; ok {
 				d.config.Transport.Cancel(owner, a.Attempt)
 			}
-		case coordinator.StartOver:
+		case coordinator.Replan:
 			d.startOver(c)
 			return
 		case coordinator.Finish:
@@ -85,21 +85,21 @@
 		}
 	}
 	if !c.query.Done() {
-		c.timer.Reset(max(0, c.query.Wake()-d.config.Now()))
+		c.timer.Reset(max(0, c.query.WakeAt()-d.config.Now()))
 	}
 }
 
 func (d *Dispatcher) startOver(c *course) {
 	now := d.config.Now()
-	plan, ok := d.catalogue.Pin(c.request.Services, d.view)
-	if !ok || !c.query.Newer(plan) {
-		d.carryOut(c, c.query.GiveUpRestart(now))
+	plan, ok := d.catalogue.PlanQuery(c.request.Services, d.view)
+	if !ok || !c.query.IsNewer(plan) {
+		d.carryOut(c, c.query.KeepPlan(now))
 		return
 	}
 	d.carryOut(c, c.query.Restart(plan, now))
 }
 
-func (d *Dispatcher) ask(c *course, a coordinator.Ask) {
+func (d *Dispatcher) ask(c *course, a coordinator.Send) {
 	now := d.config.Now()
 	d.running[a.Attempt] = c
 	record, listed := d.catalogue.Leaf(a.Leaf)
@@ -112,13 +112,13 @@
 	d.config.Transport.Ask(owner, fellow.Ask{
 		ID: a.Attempt, Query: c.id, Leaf: string(a.Leaf), Service: a.Shard.Service, Shard: a.Shard.Number,
 		Index: a.Version.Index, Version: a.Version.Number, RemainingUs: (a.Deadline - now).Microseconds(),
-		Effect: !c.request.Idempotent, Hedge: a.Hedge, Caller: c.request.Caller, Weight: c.request.Weight,
+		Effect: !c.request.Idempotent, Hedge: a.IsHedge, Caller: c.request.Caller, Weight: c.request.Weight,
 		Priority: c.priority, Text: c.request.Text,
 	})
 }
 
 // refuseLater answers an ask that has no owner after the present step has ended.
-func (d *Dispatcher) refuseLater(a coordinator.Ask, reason string) {
+func (d *Dispatcher) refuseLater(a coordinator.Send, reason string) {
 	go d.OnReplies(d.config.Self, []fellow.Reply{{ID: a.Attempt, Leaf: string(a.Leaf), Kind: fellow.KindNotRun, Reason: reason}})
 }
 
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -91,7 +91,7 @@
 // New returns a dispatcher that knows no leaf yet.
 func New(config Config, traces *tracer.Store, set *metrics.Set) *Dispatcher {
 	if config.Policy == nil {
-		config.Policy = chooser.Scored{}
+		config.Policy = chooser.PowerOfTwoChoices{}
 	}
 	return &Dispatcher{
 		config: config, traces: traces, view: tabulator.NewView(), assignment: assigner.NewMap(tabulator.NewView()),
@@ -117,7 +117,7 @@
 func (d *Dispatcher) OnRoster(records []coordinator.LeafRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.catalogue.SetRoster(records)
+	d.catalogue.SetLeafs(records)
 }
 
 // Drain refuses new queries; those under way go on.
@@ -173,15 +173,15 @@
 func (d *Dispatcher) run(ctx context.Context, id string, request Request, begun time.Duration) coordinator.Answer {
 	limits, refusal := d.admit(request, begun)
 	if refusal != "" {
-		return coordinator.Refuse(refusal)
+		return coordinator.RefusedAnswer(refusal)
 	}
 	defer d.leave()
 	if !d.knowHoldings(ctx, request.Services, limits.Deadline) {
-		return coordinator.Refuse(ReasonNoHoldings)
+		return coordinator.RefusedAnswer(ReasonNoHoldings)
 	}
 	c, refusal := d.begin(id, request, limits, begun)
 	if refusal != "" {
-		return coordinator.Refuse(refusal)
+		return coordinator.RefusedAnswer(refusal)
 	}
 	select {
 	case answer := <-c.done:
@@ -195,7 +195,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.config.Now()
-	plan, ok := d.catalogue.Pin(request.Services, d.view)
+	plan, ok := d.catalogue.PlanQuery(request.Services, d.view)
 	if !ok {
 		return nil, ReasonNoHoldings
 	}
@@ -208,12 +208,12 @@
 		id: id, request: request, priority: priority, begun: begun, owners: map[uint64]tabulator.MemberID{},
 		done: make(chan coordinator.Answer, 1),
 	}
-	c.query = coordinator.NewQuery(plan, limits, coordinator.Tools{
-		Chooser: d.chooser, Budget: tools.budget, Quantile: tools.quantile, NoHedges: d.config.NoHedges,
-		NextID: d.nextID, SendLimit: assigner.MaxSubDeadline, Avoid: d.ownerIsSilent,
+	c.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
+		Chooser: d.chooser, Budget: tools.budget, Quantile: tools.quantile, DisablesHedges: d.config.NoHedges,
+		NextAttemptID: d.nextID, AttemptTimeout: assigner.MaxSubDeadline, ShouldAvoid: d.ownerIsSilent,
 	})
 	c.timer = time.AfterFunc(time.Hour, func() { d.onTime(c) })
-	d.carryOut(c, c.query.Begin(now))
+	d.carryOut(c, c.query.Start(now))
 	return c, ""
 }
 
--- a/pkg/dispatcher/dispatcher_test.go
+++ b/pkg/dispatcher/dispatcher_test.go
@@ -145,15 +145,15 @@
 		c := &course{id: "q", owners: map[uint64]tabulator.MemberID{}, done: make(chan coordinator.Answer, 1)}
 		limits, _ := d.limits(Request{Services: []string{"s"}, Idempotent: true}, 0)
 		d.learn(map[string][]fellow.Holding{"s-d-0": {{Index: "i", Version: 1, Shards: 1}}})
-		plan, _ := d.catalogue.Pin([]string{"s"}, d.view)
+		plan, _ := d.catalogue.PlanQuery([]string{"s"}, d.view)
 		tools := d.toolsFor([]string{"s"})
-		c.query = coordinator.NewQuery(plan, limits, coordinator.Tools{
-			Chooser: d.chooser, Budget: tools.budget, Quantile: tools.quantile, NextID: d.nextID, SendLimit: time.Second,
+		c.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
+			Chooser: d.chooser, Budget: tools.budget, Quantile: tools.quantile, NextAttemptID: d.nextID, AttemptTimeout: time.Second,
 		})
 		fired := 0
 		c.timer = time.AfterFunc(time.Hour, func() { fired++ })
 		d.mu.Lock()
-		d.carryOut(c, c.query.Begin(0))
+		d.carryOut(c, c.query.Start(0))
 		d.mu.Unlock()
 		<-c.done
 		d.onTime(c)
--- a/pkg/dispatcher/holdings.go
+++ b/pkg/dispatcher/holdings.go
@@ -36,7 +36,7 @@
 func (d *Dispatcher) missingHoldings(services []string, known bool) map[tabulator.Member][]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	unknown := d.catalogue.Unknown(services)
+	unknown := d.catalogue.LeafsWithoutHoldings(services)
 	if len(unknown) == 0 || (known && !d.askForMore(services)) {
 		return nil
 	}
@@ -56,8 +56,8 @@
 	if now < d.askedAt+askPause {
 		return false
 	}
-	plan, ok := d.catalogue.Pin(services, d.view)
-	if ok && plan.Whole() {
+	plan, ok := d.catalogue.PlanQuery(services, d.view)
+	if ok && plan.IsComplete() {
 		return false
 	}
 	d.askedAt = now
@@ -68,7 +68,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, service := range services {
-		if len(d.catalogue.Unknown([]string{service})) == len(d.catalogue.LeafsOf(service)) {
+		if len(d.catalogue.LeafsWithoutHoldings([]string{service})) == len(d.catalogue.LeafsOf(service)) {
 			return false
 		}
 	}
@@ -79,6 +79,6 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, held := range holdings {
-		d.catalogue.Learn(assigner.LeafID(id), toHoldings(held))
+		d.catalogue.SetHoldings(assigner.LeafID(id), toHoldings(held))
 	}
 }
--- a/pkg/dispatcher/trace.go
+++ b/pkg/dispatcher/trace.go
@@ -34,7 +34,7 @@
 	return tracer.Span{
 		Kind: string(a.Kind), Service: a.Shard.Service, Shard: a.Shard.Number, Leaf: string(a.Leaf),
 		DataCentre: record.DataCentre, Owner: owner.Instance(), Start: a.Sent - begun, Total: max(0, a.Ended-a.Sent),
-		Queue: a.Timing.Queue, Connect: a.Timing.Connect, LeafTime: a.Timing.Leaf, Limit: a.Timing.Limit,
-		Slots: a.Timing.Slots, ClosedFor: a.Timing.ClosedFor, ClosedReason: a.Timing.ClosedReason, Result: a.Result,
+		Queue: a.Timing.QueueTime, Connect: a.Timing.ConnectTime, LeafTime: a.Timing.LeafTime, Limit: a.Timing.Limit,
+		Slots: a.Timing.Slots, ClosedFor: a.Timing.SinceLimitReset, ClosedReason: a.Timing.LimitResetReason, Result: a.Result,
 	}
 }
--- a/pkg/lister/platform.go
+++ b/pkg/lister/platform.go
@@ -119,7 +119,7 @@
 		}
 		kept = append(kept, coordinator.LeafRecord{
 			ID: assigner.LeafID(leaf.ID), Service: leaf.Service, DataCentre: leaf.DataCentre,
-			Address: leaf.Address, Leaving: leaf.State != StateLive,
+			Address: leaf.Address, IsDraining: leaf.State != StateLive,
 		})
 	}
 	return kept
--- a/pkg/owner/owned_leaf.go
+++ b/pkg/owner/owned_leaf.go
@@ -26,7 +26,7 @@
 	mu        sync.Mutex
 	record    coordinator.LeafRecord
 	row       tabulator.Row
-	admission *admitter.Leaf
+	admission *admitter.Admitter
 	fence     *assigner.Fence
 	client    *leaf.Client
 	items     map[uint64]*pendingAsk
@@ -108,7 +108,7 @@
 	l.opened = true
 	if release, ok := l.fence.Inherited(); ok {
 		l.admission = admitter.New(l.slots(), now, admitter.WithGrowth(l.owner.config.Growth),
-			admitter.WithInherited(release.Limit, release.Latency, release.Running, now+release.RunningUntil))
+			admitter.WithHandover(release.Limit, release.Latency, release.Running, now+release.RunningUntil))
 		l.client.SetConnections(max(1, l.connections()-release.Running))
 	}
 	l.mu.Unlock()
@@ -150,15 +150,15 @@
 		l.owner.settle(pending, fellow.Reply{Kind: fellow.KindNotRun, Reason: reason})
 		return
 	}
-	refusal := l.admission.Offer(admitter.Item{
+	refusal := l.admission.Offer(admitter.Request{
 		ID: pending.itemID, Caller: pending.ask.Caller, Weight: pending.ask.Weight, Deadline: pending.deadline,
-		Priority: pending.ask.Priority, Hedge: pending.ask.Hedge,
+		Priority: pending.ask.Priority, IsHedge: pending.ask.Hedge,
 	}, now)
-	if refusal == admitter.RefusedNone {
+	if refusal == admitter.NotRefused {
 		l.items[pending.itemID] = pending
 	}
 	l.mu.Unlock()
-	if refusal != admitter.RefusedNone {
+	if refusal != admitter.NotRefused {
 		reply := l.notRun(string(refusal))
 		reply.Overload = isOverload(refusal)
 		l.owner.settle(pending, reply)
@@ -249,7 +249,7 @@
 		l.open()
 	}
 	for _, pending := range late {
-		reply := l.notRun(string(admitter.RefusedTooLate))
+		reply := l.notRun(string(admitter.RefusedDeadline))
 		reply.Overload = true
 		l.owner.settle(pending, reply)
 	}
@@ -258,7 +258,7 @@
 
 func (l *ownedLeaf) cancel(pending *pendingAsk) {
 	l.mu.Lock()
-	queued := l.admission.Withdraw(pending.itemID)
+	queued := l.admission.Remove(pending.itemID)
 	delete(l.items, pending.itemID)
 	client, wireID := l.client, pending.wireID
 	l.mu.Unlock()
@@ -275,7 +275,7 @@
 	state := l.admission.Condition(now)
 	released := fellow.Released{
 		Leaf: string(l.record.ID), Open: l.opened && !l.retired, Running: state.Running,
-		RunningUntil: l.admission.RunningFor(now), Limit: state.Limit, Latency: state.Latency,
+		RunningUntil: l.admission.RemainingRunTime(now), Limit: state.Limit, Latency: state.Latency,
 	}
 	l.retired = true
 	return released
@@ -286,7 +286,7 @@
 	l.mu.Lock()
 	l.retired = true
 	var refused []*pendingAsk
-	for _, item := range l.admission.Flush() {
+	for _, item := range l.admission.RemoveAll() {
 		refused = append(refused, l.items[item.ID])
 		delete(l.items, item.ID)
 	}
@@ -305,6 +305,6 @@
 func toCondition(c admitter.Condition, now time.Duration) fellow.Condition {
 	return fellow.Condition{
 		Known: true, Limit: c.Limit, Slots: c.Slots, Running: c.Running, Queued: c.Queued, Latency: c.Latency,
-		Threshold: c.Threshold, Resting: c.Resting, Cold: c.Cold, ClosedFor: now - c.ClosedAt, ClosedReason: c.Reason,
+		Threshold: c.Threshold, Resting: c.InBackoff, Cold: c.IsCold, ClosedFor: now - c.LimitResetAt, ClosedReason: c.LimitResetReason,
 	}
 }
--- a/pkg/owner/owned_leaf_exchange.go
+++ b/pkg/owner/owned_leaf_exchange.go
@@ -30,8 +30,8 @@
 	l.admission.Done(pending.itemID, outcome, now)
 	l.learn(exchange.Response())
 	reply.Condition = toCondition(l.admission.Condition(now), now)
-	reply.Condition.ClosedFor = now - state.ClosedAt
-	reply.Condition.ClosedReason = state.Reason
+	reply.Condition.ClosedFor = now - state.LimitResetAt
+	reply.Condition.ClosedReason = state.LimitResetReason
 	reply.Holdings = l.holdings
 	l.mu.Unlock()
 	l.owner.settle(pending, reply)
@@ -69,7 +69,7 @@
 	reply := fellow.Reply{Kind: fellow.KindUnknown, Reason: err.Error(), Faulty: true}
 	var fault *leaf.Error
 	if !errors.As(err, &fault) {
-		return reply, admitter.Broken{}
+		return reply, admitter.ConnectionFailed{}
 	}
 	if fault.Step() == leaf.StepGate {
 		return fellow.Reply{Kind: fellow.KindNotRun, Reason: fault.Unwrap().Error()}, admitter.Cancelled{}
@@ -77,14 +77,14 @@
 	if fault.NotSent() {
 		reply.Kind = fellow.KindNotRun
 		reply.Reason = fellow.ReasonConnect
-		return reply, admitter.Broken{}
+		return reply, admitter.ConnectionFailed{}
 	}
 	reply.Reason = string(fault.Step())
 	if fault.Timeout() {
 		reply.Reason = "leaf-timeout"
-		return reply, admitter.Abandoned{}
+		return reply, admitter.TimedOut{}
 	}
-	return reply, admitter.Broken{}
+	return reply, admitter.ConnectionFailed{}
 }
 
 func (l *ownedLeaf) startChanged(start string) bool {
@@ -112,7 +112,7 @@
 
 func isOverload(refusal admitter.Refusal) bool {
 	switch refusal {
-	case admitter.RefusedPriority, admitter.RefusedQueueFull, admitter.RefusedTooLate:
+	case admitter.RefusedPriority, admitter.RefusedQueueFull, admitter.RefusedDeadline:
 		return true
 	}
 	return false
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -130,7 +130,7 @@
 }
 
 func (b *bench) roster(leaving bool) {
-	b.owner.OnRoster([]coordinator.LeafRecord{{ID: "leaf", Service: "s", DataCentre: "d", Address: "leaf", Leaving: leaving}})
+	b.owner.OnRoster([]coordinator.LeafRecord{{ID: "leaf", Service: "s", DataCentre: "d", Address: "leaf", IsDraining: leaving}})
 }
 
 func (b *bench) ask(id uint64, remaining time.Duration) {
--- a/pkg/owner/ownership.go
+++ b/pkg/owner/ownership.go
@@ -98,7 +98,7 @@
 	}
 	_, takes := o.view.TakesWork(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
 	current, listed := o.roster[record.ID]
-	if !takes || !listed || current.Leaving {
+	if !takes || !listed || current.IsDraining {
 		return errors.New(fellow.ReasonTakenOut)
 	}
 	return nil
--- a/pkg/runner/instance.go
+++ b/pkg/runner/instance.go
@@ -110,7 +110,7 @@
 
 // New starts an instance with the given settings; Close or Shutdown ends it.
 func New(settings configurer.Settings, opts ...Option) (*Instance, error) {
-	o := options{log: logr.Discard(), growth: admitter.AdditiveGrowth{}, policy: chooser.Scored{}, seed: uint64(time.Now().UnixNano())}
+	o := options{log: logr.Discard(), growth: admitter.AdditiveGrowth{}, policy: chooser.PowerOfTwoChoices{}, seed: uint64(time.Now().UnixNano())}
 	for _, option := range opts {
 		option(&o)
 	}
