--- a/pkg/aggregator/peers.go
+++ b/pkg/aggregator/peers.go
@@ -46,7 +46,7 @@
 	}
 
 	peer struct {
-		line  *linker.Line
+		line  *linker.Peer
 		state slicer.Peer
 		// busy tells that the peer is being asked, or its connection opened.
 		busy bool
@@ -118,7 +118,7 @@
 	}
 	for name, address := range addresses {
 		if p.peers[name] == nil {
-			p.peers[name] = &peer{line: p.linker.NewLine(address)}
+			p.peers[name] = &peer{line: p.linker.NewPeer(address)}
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.peers[instance]
-	return known != nil && known.state.IsAvailable() && known.line.Open() != nil
+	return known != nil && known.state.IsAvailable() && known.line.CurrentClient() != nil
 }
 
 // Gather hands a slice to the instance. The first report, or an error, goes to done from another goroutine. It returns nil
@@ -138,7 +138,7 @@
 	known := p.peers[instance]
 	var client *rpc.Client
 	if known != nil && known.state.IsAvailable() {
-		client = known.line.Open()
+		client = known.line.CurrentClient()
 	}
 	p.mu.Unlock()
 	if client == nil {
@@ -194,7 +194,7 @@
 func (p *Peers) lost(instance string, client *rpc.Client, cause string) {
 	p.mu.Lock()
 	known := p.peers[instance]
-	if known == nil || known.line.Open() != client {
+	if known == nil || known.line.CurrentClient() != client {
 		p.mu.Unlock()
 		_ = client.Close()
 		return
@@ -255,7 +255,7 @@
 	now := p.now()
 	idle := map[string]*peer{}
 	for name, known := range p.peers {
-		wanted := known.line.Open() == nil
+		wanted := known.line.CurrentClient() == nil
 		if !known.state.IsAvailable() {
 			wanted = known.state.ShouldProbe(now)
 		}
--- a/pkg/assigner/map.go
+++ b/pkg/assigner/map.go
@@ -98,7 +98,7 @@
 func (m *Map) Owner(leaf Leaf) (tabulator.Member, bool) {
 	known, ok := m.owners[leaf.id]
 	if !ok {
-		known = m.best(leaf, func(c candidate) bool { return !c.member.Draining() })
+		known = m.best(leaf, func(c candidate) bool { return !c.member.IsDraining() })
 		m.owners[leaf.id] = known
 	}
 	return known.owner.member, known.found
@@ -152,7 +152,7 @@
 func eligible(members []candidate) map[tabulator.MemberID]candidate {
 	found := make(map[tabulator.MemberID]candidate, len(members))
 	for _, c := range members {
-		if !c.member.Draining() {
+		if !c.member.IsDraining() {
 			found[c.member.ID()] = c
 		}
 	}
--- a/pkg/commander/verb_emulate.go
+++ b/pkg/commander/verb_emulate.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return usagef("--rows: %v", err)
 	}
-	if err := tabulator.WriteSheet(file, shape.Rows()); err != nil {
+	if err := tabulator.WriteCSV(file, shape.Rows()); err != nil {
 		_ = file.Close()
 		return err
 	}
--- a/pkg/commander/verb_table.go
+++ b/pkg/commander/verb_table.go
@@ -54,7 +54,7 @@
 	if format == printer.FormatJSON {
 		return printer.Print(command.Root().Writer, format, nil, table)
 	}
-	return tabulator.WriteSheet(command.Root().Writer, table.Rows)
+	return tabulator.WriteCSV(command.Root().Writer, table.Rows)
 }
 
 func runTablePut(_ context.Context, command *cli.Command) error {
@@ -96,7 +96,7 @@
 		defer func() { _ = file.Close() }()
 		reader = file
 	}
-	rows, faults, err := tabulator.ReadSheet(reader)
+	rows, faults, err := tabulator.ReadCSV(reader)
 	if err != nil {
 		return nil, err
 	}
@@ -198,7 +198,7 @@
 
 func parseCells(cells []string) (tabulator.RowFields, error) {
 	text := strings.Join(tabulator.Columns(), ",") + "\n" + strings.Join(cells, ",") + "\n"
-	rows, faults, err := tabulator.ReadSheet(strings.NewReader(text))
+	rows, faults, err := tabulator.ReadCSV(strings.NewReader(text))
 	if err != nil {
 		return tabulator.RowFields{}, err
 	}
--- a/pkg/controller/client.go
+++ b/pkg/controller/client.go
@@ -55,7 +55,7 @@
 	Client struct {
 		config   ClientConfig
 		circle   circle
-		board    *lister.Board
+		board    *lister.RosterStore
 		renewal  time.Duration
 		mu       sync.Mutex
 		view     *tabulator.View
@@ -70,7 +70,7 @@
 
 // NewClient returns a client without a lease; Run starts the renewals.
 func NewClient(config ClientConfig) *Client {
-	client := &Client{config: config, view: tabulator.NewView(), renewal: renewInterval, board: lister.NewBoard(config.Now), stop: make(chan struct{})}
+	client := &Client{config: config, view: tabulator.NewView(), renewal: renewInterval, board: lister.NewRosterStore(config.Now), stop: make(chan struct{})}
 	client.circle.linker = config.Linker
 	client.circle.replace(config.Addresses)
 	client.circle.shuffle(config.Random)
@@ -95,7 +95,7 @@
 
 // ListReadAt returns when the list of leafs that this instance was given was last read by a control instance; false
 // before the first one.
-func (c *Client) ListReadAt() (time.Duration, bool) { return c.board.ReadAt() }
+func (c *Client) ListReadAt() (time.Duration, bool) { return c.board.LastReadAt() }
 
 // View returns the view that is in force at this instance.
 func (c *Client) View() *tabulator.View {
@@ -280,8 +280,8 @@
 	if len(reply.Control) > 0 {
 		c.circle.replace(reply.Control)
 	}
-	if c.board.Take(reply.Roster) && c.config.OnRoster != nil {
-		c.config.OnRoster(c.board.Whole())
+	if c.board.Apply(reply.Roster) && c.config.OnRoster != nil {
+		c.config.OnRoster(c.board.FullRoster())
 	}
 	c.board.Confirm(reply.Reading)
 	if c.config.OnRequests != nil {
@@ -304,7 +304,7 @@
 func (c *Client) forgetView() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.view = c.view.AskWhole()
+	c.view = c.view.ForResync()
 }
 
 func (c *Client) noteLease() {
--- a/pkg/controller/peer.go
+++ b/pkg/controller/peer.go
@@ -14,11 +14,11 @@
 
 // peer is the way to one control instance.
 type peer struct {
-	line *linker.Line
+	line *linker.Peer
 }
 
 func newPeer(l *linker.Linker, address string) *peer {
-	return &peer{line: l.NewLine(address)}
+	return &peer{line: l.NewPeer(address)}
 }
 
 func (p *peer) call(method string, query, reply any, timeout time.Duration) error {
--- a/pkg/controller/server.go
+++ b/pkg/controller/server.go
@@ -61,7 +61,7 @@
 		Random    *rand.Rand
 		Timeline  *timeliner.Timeline
 		// Board holds the list of leafs; nil where the instance has none to hand on.
-		Board *lister.Board
+		Board *lister.RosterStore
 		// Founding tells how control instances find each other; nil where the settings list them.
 		Founding *Founding
 		// Renewal is the pause between renewals that entry instances are told to keep; 0 leaves it to them.
--- a/pkg/controller/service.go
+++ b/pkg/controller/service.go
@@ -32,7 +32,7 @@
 // Report takes what another control instance says of its sessions.
 func (s *Service) Report(query ReportQuery, reply *ReportReply) error {
 	if s.server.config.Board != nil {
-		reply.Roster = s.server.config.Board.Since(query.Roster)
+		reply.Roster = s.server.config.Board.ChangesSince(query.Roster)
 		reply.Reading = s.server.config.Board.Reading()
 	}
 	return s.server.await(func(done func()) {
@@ -149,7 +149,7 @@
 		return RenewReply{Reason: err.Error()}
 	}
 	if s.config.Board != nil {
-		reply.Roster = s.config.Board.Since(query.Roster)
+		reply.Roster = s.config.Board.ChangesSince(query.Roster)
 		reply.Reading = s.config.Board.Reading()
 	}
 	return reply
--- a/pkg/controller/sessions.go
+++ b/pkg/controller/sessions.go
@@ -221,7 +221,7 @@
 			return
 		}
 		if s.config.Board != nil {
-			s.config.Board.Take(reply.Roster)
+			s.config.Board.Apply(reply.Roster)
 			s.config.Board.Confirm(reply.Reading)
 		}
 	case <-s.stop:
--- a/pkg/controller/sessions_test.go
+++ b/pkg/controller/sessions_test.go
@@ -11,12 +11,12 @@
 func TestInstanceWithoutAListAsksForItSoon(t *testing.T) {
 	cases := []struct {
 		name  string
-		board *lister.Board
+		board *lister.RosterStore
 		read  bool
 		want  time.Duration
 	}{
-		{"no list yet", lister.NewBoard(func() time.Duration { return time.Second }), false, firstReport},
-		{"a list", lister.NewBoard(func() time.Duration { return time.Second }), true, reportInterval},
+		{"no list yet", lister.NewRosterStore(func() time.Duration { return time.Second }), false, firstReport},
+		{"a list", lister.NewRosterStore(func() time.Duration { return time.Second }), true, reportInterval},
 		{"an instance that hands on no list", nil, false, reportInterval},
 	}
 	for _, c := range cases {
--- a/pkg/coordinator/catalogue.go
+++ b/pkg/coordinator/catalogue.go
@@ -210,7 +210,7 @@
 			continue
 		}
 		record := c.leafs[id]
-		row, takesWork := view.TakesWork(tabulator.Key{Service: service, DataCentre: record.DataCentre})
+		row, takesWork := view.AcceptsRequests(tabulator.Key{Service: service, DataCentre: record.DataCentre})
 		if !takesWork || record.IsDraining {
 			continue
 		}
--- a/pkg/fellow/link.go
+++ b/pkg/fellow/link.go
@@ -34,7 +34,7 @@
 
 	// Link sends to one incarnation of one fellow.
 	Link struct {
-		line    *linker.Line
+		line    *linker.Peer
 		self    tabulator.MemberID
 		address string
 		peer    tabulator.MemberID
@@ -67,7 +67,7 @@
 
 func newLink(l *linker.Linker, self tabulator.MemberID, address string, peer tabulator.MemberID, target string, lost Lost) *Link {
 	link := &Link{
-		line: l.NewLine(target), self: self, address: address, peer: peer, lost: lost,
+		line: l.NewPeer(target), self: self, address: address, peer: peer, lost: lost,
 		// Sequence numbers go on from the clock, so that a later link of this incarnation uses none of them again.
 		sequence: uint64(time.Now().UnixNano()),
 	}
@@ -167,7 +167,7 @@
 		l.setSilent()
 		l.report(batch.Asks, true, ReasonSilent)
 		batch.Asks = nil
-		err = l.line.Await(client, call, callTimeout)
+		err = l.line.AwaitOrDrop(client, call, callTimeout)
 	}
 	if err == nil {
 		l.onAck(time.Since(begun))
--- a/pkg/gossiper/doc.go
+++ b/pkg/gossiper/doc.go
@@ -1,2 +1,2 @@
-// Package gossiper exchanges observations of leafs with other instances of the data centre, in datagrams that may be lost.
+// Package gossiper spreads observations of leafs among the instances of a data centre by gossip over UDP.
 package gossiper
--- a/pkg/gossiper/gossiper.go
+++ b/pkg/gossiper/gossiper.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// round is the time between two rounds in which news is sent.
-	round = 100 * time.Millisecond
-	// peersARound is how many others get the news of a round.
-	peersARound = 3
-	// maxObservations bounds a datagram: 40 observations of 30 bytes fit into one packet.
+	// roundInterval is the time between two rounds of sending.
+	roundInterval = 100 * time.Millisecond
+	// peersPerRound is the number of random peers that get the observations of a round.
+	peersPerRound = 3
+	// maxObservations limits the observations in a datagram: 40 of 30 bytes each fit into one packet.
 	maxObservations = 40
-	// maxDatagram is the largest datagram that is read, in bytes.
-	maxDatagram = 2048
+	// maxDatagramBytes is the size of the receive buffer. Longer datagrams are truncated and fail authentication.
+	maxDatagramBytes = 2048
 )
 
 type (
-	// Config is what a Gossiper needs of its instance.
+	// Config holds the settings and dependencies of a Gossiper.
 	Config struct {
-		// Listen is the UDP address.
+		// Listen is the UDP address to listen on.
 		Listen string
 		Secret linker.Secret
 		Now    func() time.Duration
 		Random *rand.Rand
 		Log    logr.Logger
-		// Stale tells whether what is read now may have waited while the process was paused; nil never does.
-		Stale func() bool
-		// OnObservations takes news of other instances.
+		// MayBeStale reports whether a datagram read now may have waited in the socket while the process was paused. It may be nil.
+		MayBeStale func() bool
+		// OnObservations is called with observations of other instances that are new to this one.
 		OnObservations func(observations []spreader.Observation)
 	}
 
-	// Gossiper exchanges observations of leafs with the other instances of a data centre.
+	// Gossiper sends and forwards observations of leafs to other instances of a data centre.
 	Gossiper struct {
 		config   Config
 		conn     *net.UDPConn
@@ -53,7 +53,7 @@
 	}
 )
 
-// New opens the socket; Run starts the exchange, and Close ends it.
+// New returns a Gossiper that listens on its socket, or an error if the address is invalid or cannot be listened on.
 func New(config Config) (*Gossiper, error) {
 	address, err := net.ResolveUDPAddr("udp4", config.Listen)
 	if err != nil {
@@ -68,28 +68,28 @@
 	}, nil
 }
 
-// Run sends and receives observations until Close.
+// Run starts sending and receiving in the background until Close.
 func (g *Gossiper) Run() {
 	g.group.Go(g.receiveLoop)
 	g.group.Go(g.sendLoop)
 }
 
-// Close ends the exchange.
+// Close closes the socket and waits until sending and receiving have ended.
 func (g *Gossiper) Close() {
 	close(g.stop)
 	if err := g.conn.Close(); err != nil {
-		g.config.Log.Error(err, "gossiper: the socket was not closed cleanly")
+		g.config.Log.Error(err, "gossiper: failed to close the socket")
 	}
 	g.group.Wait()
 }
 
-// SetPeers takes the addresses of the other instances; one that cannot be read is left out.
+// SetPeers sets the addresses of the other instances and skips those that cannot be resolved.
 func (g *Gossiper) SetPeers(addresses []string) {
 	peers := make([]*net.UDPAddr, 0, len(addresses))
 	for _, address := range addresses {
 		peer, err := net.ResolveUDPAddr("udp4", address)
 		if err != nil {
-			g.config.Log.Error(err, "gossiper: the address of an instance cannot be used", "address", address)
+			g.config.Log.Error(err, "gossiper: failed to resolve the address of an instance", "address", address)
 			continue
 		}
 		peers = append(peers, peer)
@@ -99,22 +99,22 @@
 	g.peers = peers
 }
 
-// Tell passes on what this instance saw.
-func (g *Gossiper) Tell(observation spreader.Observation) {
+// Publish sends an observation of this instance to the peers.
+func (g *Gossiper) Publish(observation spreader.Observation) {
 	g.mu.Lock()
 	g.spreader.Add(observation)
 	g.mu.Unlock()
-	g.wakeUp()
+	g.wakeSender()
 }
 
-func (g *Gossiper) wakeUp() {
+func (g *Gossiper) wakeSender() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
 	}
 }
 
-// sendLoop sends a round of news, and rests while there is none.
+// sendLoop sends rounds while there are observations to send, and otherwise waits for the next one.
 func (g *Gossiper) sendLoop() {
 	for {
 		select {
@@ -126,37 +126,37 @@
 			select {
 			case <-g.stop:
 				return
-			case <-time.After(round):
+			case <-time.After(roundInterval):
 			}
 		}
 	}
 }
 
-// sendRound tells whether there was news.
+// sendRound sends the pending observations to random peers and reports whether there were any.
 func (g *Gossiper) sendRound() bool {
 	now := g.config.Now()
 	g.mu.Lock()
 	observations := g.spreader.NextRound(now, maxObservations)
-	peers := g.pick()
+	peers := g.pickPeers()
 	g.mu.Unlock()
 	if len(observations) == 0 {
 		return false
 	}
 	data, err := encode(observations, now)
 	if err != nil {
-		g.config.Log.Error(err, "gossiper: observations are not sent")
+		g.config.Log.Error(err, "gossiper: failed to send observations")
 		return true
 	}
-	sealed := g.config.Secret.Seal(data)
+	datagram := g.config.Secret.Sign(data)
 	for _, peer := range peers {
-		// A datagram may be lost anywhere; the others carry on what it held.
-		_, _ = g.conn.WriteToUDP(sealed, peer)
+		// Errors are ignored like lost datagrams: the other peers forward the observations.
+		_, _ = g.conn.WriteToUDP(datagram, peer)
 	}
 	return true
 }
 
-func (g *Gossiper) pick() []*net.UDPAddr {
-	count := min(peersARound, len(g.peers))
+func (g *Gossiper) pickPeers() []*net.UDPAddr {
+	count := min(peersPerRound, len(g.peers))
 	for i := range count {
 		j := i + g.config.Random.IntN(len(g.peers)-i)
 		g.peers[i], g.peers[j] = g.peers[j], g.peers[i]
@@ -165,7 +165,7 @@
 }
 
 func (g *Gossiper) receiveLoop() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, _, err := g.conn.ReadFromUDP(buffer)
 		if err != nil {
@@ -174,43 +174,44 @@
 				return
 			default:
 			}
-			g.config.Log.Error(err, "gossiper: receive")
-			time.Sleep(round)
+			g.config.Log.Error(err, "gossiper: failed to receive a datagram")
+			time.Sleep(roundInterval)
 			continue
 		}
-		g.receive(buffer[:size])
+		g.handleDatagram(buffer[:size])
 	}
 }
 
-func (g *Gossiper) receive(datagram []byte) {
-	if g.config.Stale != nil && g.config.Stale() {
-		g.config.Log.V(1).Info("gossiper: dropped a datagram that waited during a pause")
+func (g *Gossiper) handleDatagram(datagram []byte) {
+	if g.config.MayBeStale != nil && g.config.MayBeStale() {
+		g.config.Log.V(1).Info("gossiper: dropped a datagram that may have been received during a pause of the process")
 		return
 	}
-	data, ok := g.config.Secret.Open(datagram)
+	data, ok := g.config.Secret.Verify(datagram)
 	if !ok {
-		g.config.Log.V(1).Info("gossiper: dropped a datagram of another cluster")
+		g.config.Log.V(1).Info("gossiper: dropped a datagram that failed authentication")
 		return
 	}
 	observations, err := decode(data, g.config.Now())
 	if err != nil {
-		g.config.Log.Error(err, "gossiper: a datagram was dropped")
+		g.config.Log.Error(err, "gossiper: dropped a datagram that could not be decoded")
 		return
 	}
-	if news := g.take(observations); len(news) > 0 {
-		g.config.OnObservations(news)
-		g.wakeUp()
+	if added := g.addObservations(observations); len(added) > 0 {
+		g.config.OnObservations(added)
+		g.wakeSender()
 	}
 }
 
-func (g *Gossiper) take(observations []spreader.Observation) []spreader.Observation {
+// addObservations returns the observations that were new, in the memory of the given slice.
+func (g *Gossiper) addObservations(observations []spreader.Observation) []spreader.Observation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	news := observations[:0]
+	added := observations[:0]
 	for _, observation := range observations {
 		if g.spreader.Add(observation) {
-			news = append(news, observation)
+			added = append(added, observation)
 		}
 	}
-	return news
+	return added
 }
--- a/pkg/gossiper/wire.go
+++ b/pkg/gossiper/wire.go
@@ -1,7 +1,7 @@
-// A datagram holds observations, each as a list, and a proof that the sender holds
-// the key of the cluster:
+// A datagram holds observations, each encoded as a MessagePack array, and a
+// message authentication code:
 //
-//	[["i-7f3a91c2",4.2,0,true,700,15,false], ...]   leaf, slowness, faults, slow, slow for ms, age ms, gone
+//	[["i-7f3a91c2",4.2,0,true,700,15,false], ...]   leaf, slowness, failure rate, is slow, slow for ms, age ms, is gone
 
 package gossiper
 
@@ -29,11 +29,11 @@
 
 func encode(observations []spreader.Observation, now time.Duration) ([]byte, error) {
 	list := make([]wireObservation, 0, len(observations))
-	for _, s := range observations {
+	for _, observation := range observations {
 		list = append(list, wireObservation{
-			Leaf: s.Leaf, Slowness: float32(s.Slowness), Faults: float32(s.FailureRate), Slow: s.IsSlow,
-			SlowMs: uint32(s.SlowFor.Milliseconds()), AgeMs: uint32(max(0, now-s.SeenAt).Milliseconds()),
-			Gone: s.IsGone,
+			Leaf: observation.Leaf, Slowness: float32(observation.Slowness), Faults: float32(observation.FailureRate), Slow: observation.IsSlow,
+			SlowMs: uint32(observation.SlowFor.Milliseconds()), AgeMs: uint32(max(0, now-observation.SeenAt).Milliseconds()),
+			Gone: observation.IsGone,
 		})
 	}
 	var data bytes.Buffer
@@ -43,7 +43,8 @@
 	return data.Bytes(), errors.Wrap(err, "gossip: encode observations")
 }
 
-// decode reads the observations one by one: the length of a list is the sender's word, for which nothing is allocated.
+// decode returns the observations of a datagram, or an error if it is malformed or holds more than maxObservations. It decodes
+// them one by one, so that a false array length causes no large allocation.
 func decode(data []byte, now time.Duration) ([]spreader.Observation, error) {
 	decoder := msgpack.NewDecoder(bytes.NewReader(data))
 	count, err := decoder.DecodeArrayLen()
@@ -51,13 +52,13 @@
 		return nil, errors.Wrap(err, "gossip: decode observations")
 	}
 	if count > maxObservations {
-		return nil, errors.Errorf("gossip: decode observations: %d in one datagram, more than %d", count, maxObservations)
+		return nil, errors.Errorf("gossip: decode observations: got %d in one datagram, want at most %d", count, maxObservations)
 	}
 	observations := make([]spreader.Observation, 0, max(0, count))
 	for range count {
 		var w wireObservation
 		if err := decoder.Decode(&w); err != nil {
-			return nil, errors.Wrap(err, "gossip: decode an observation")
+			return nil, errors.Wrap(err, "gossip: decode observation")
 		}
 		observation := spreader.Observation{
 			Leaf: w.Leaf, Slowness: float64(w.Slowness), FailureRate: float64(w.Faults), IsSlow: w.Slow,
@@ -65,7 +66,7 @@
 			IsGone: w.Gone,
 		}
 		if !(observation.Slowness >= 0) || !(observation.FailureRate >= 0 && observation.FailureRate <= 1) {
-			return nil, errors.Errorf("gossip: decode observations: slowness %g and faults %g", observation.Slowness, observation.FailureRate)
+			return nil, errors.Errorf("gossip: decode observations: invalid slowness %g or failure rate %g", observation.Slowness, observation.FailureRate)
 		}
 		observations = append(observations, observation)
 	}
--- a/pkg/linker/codec.go
+++ b/pkg/linker/codec.go
@@ -1,5 +1,5 @@
-// The codecs are net/rpc's gob codec with a bound on the size of one message,
-// so that a peer cannot make an instance hold an unbounded body.
+// The codecs are the gob codecs of net/rpc with a limit on the size of a
+// message, so that a peer cannot make an instance allocate memory without bound.
 
 package linker
 
@@ -13,18 +13,19 @@
 	"github.com/pkg/errors"
 )
 
-const maxMessage = 32 << 20
+// maxMessageBytes limits the header and the body of a message together.
+const maxMessageBytes = 32 << 20
 
 type (
-	boundedReader struct {
-		reader io.Reader
-		left   int
+	limitedReader struct {
+		reader    io.Reader
+		remaining int
 	}
 
-	// codec is what both ends share.
+	// codec is the part that the server codec and the client codec share.
 	codec struct {
 		conn    io.ReadWriteCloser
-		bounded *boundedReader
+		limited *limitedReader
 		decoder *gob.Decoder
 		encoder *gob.Encoder
 		buffer  *bufio.Writer
@@ -45,20 +46,20 @@
 }
 
 func newCodec(conn io.ReadWriteCloser) *codec {
-	bounded := &boundedReader{reader: conn, left: maxMessage}
+	limited := &limitedReader{reader: conn, remaining: maxMessageBytes}
 	buffer := bufio.NewWriter(conn)
 	return &codec{
-		conn: conn, bounded: bounded, decoder: gob.NewDecoder(bufio.NewReader(bounded)),
+		conn: conn, limited: limited, decoder: gob.NewDecoder(bufio.NewReader(limited)),
 		encoder: gob.NewEncoder(buffer), buffer: buffer,
 	}
 }
 
-func (b *boundedReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errors.Errorf("message of more than %d bytes", maxMessage)
+func (r *limitedReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
+		return 0, errors.Errorf("message exceeds %d bytes", maxMessageBytes)
 	}
-	n, err := b.reader.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := r.reader.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
 
@@ -78,9 +79,9 @@
 
 func (c *clientCodec) ReadResponseBody(body any) error { return c.decoder.Decode(body) }
 
-// readHeader begins a message, which has the whole bound for itself.
+// readHeader starts a message and resets the size limit.
 func (c *codec) readHeader(header any) error {
-	c.bounded.left = maxMessage
+	c.limited.remaining = maxMessageBytes
 	return c.decoder.Decode(header)
 }
 
@@ -94,7 +95,7 @@
 	return c.buffer.Flush()
 }
 
-// Close closes the connection.
+// Close closes the connection; further calls have no effect.
 func (c *codec) Close() error {
 	if c.closed.Swap(true) {
 		return nil
@@ -104,5 +105,5 @@
 
 func (c *codec) abort(err error) error {
 	_ = c.Close()
-	return errors.Wrap(err, "encode a message")
+	return errors.Wrap(err, "encode message")
 }
--- a/pkg/linker/doc.go
+++ b/pkg/linker/doc.go
@@ -1,2 +1,2 @@
-// Package linker opens and accepts the authenticated connections between instances and carries net/rpc on them.
+// Package linker opens and accepts authenticated connections between instances and runs net/rpc over them.
 package linker
--- a/pkg/linker/handshake.go
+++ b/pkg/linker/handshake.go
@@ -1,4 +1,5 @@
-// Both ends prove that they hold the key of the cluster before any call:
+// Client and server prove to each other that they hold the key of the cluster
+// before the first call:
 //
 //	server -> client  nonce of the server
 //	client -> server  magic, nonce of the client, HMAC("client", cluster, both nonces)
@@ -23,35 +24,35 @@
 	handshakeTimeout = 3 * time.Second
 )
 
-// ErrForeign is returned when the peer does not hold the key of this cluster.
-var ErrForeign = errors.New("handshake: the peer does not hold the key of this cluster")
+// ErrUnauthenticated is returned if the peer does not prove that it holds the key of this cluster.
+var ErrUnauthenticated = errors.New("handshake: the peer does not hold the key of this cluster")
 
-// Secret is what the instances of one cluster share.
+// Secret holds the name of a cluster and the key that its instances share.
 type Secret struct {
 	cluster string
 	key     []byte
 }
 
-// NewSecret returns the secret of a cluster.
+// NewSecret returns the secret of a cluster with a copy of key.
 func NewSecret(cluster string, key []byte) Secret {
 	return Secret{cluster: cluster, key: append([]byte(nil), key...)}
 }
 
-// Seal returns a datagram with the proof that its sender holds the key.
-func (s Secret) Seal(data []byte) []byte { return append(data, s.tag(data)...) }
+// Sign appends the message authentication code of data to it, in the memory of data if its capacity suffices.
+func (s Secret) Sign(data []byte) []byte { return append(data, s.datagramMAC(data)...) }
 
-// Open returns what was sealed; false where the proof does not fit.
-func (s Secret) Open(datagram []byte) ([]byte, bool) {
+// Verify returns the data of a signed datagram and reports whether its message authentication code is valid.
+func (s Secret) Verify(datagram []byte) ([]byte, bool) {
 	if len(datagram) < sha256.Size {
 		return nil, false
 	}
-	data, tag := datagram[:len(datagram)-sha256.Size], datagram[len(datagram)-sha256.Size:]
-	return data, hmac.Equal(tag, s.tag(data))
+	data, mac := datagram[:len(datagram)-sha256.Size], datagram[len(datagram)-sha256.Size:]
+	return data, hmac.Equal(mac, s.datagramMAC(data))
 }
 
-func (s Secret) tag(data []byte) []byte { return s.proof("datagram", data, nil) }
+func (s Secret) datagramMAC(data []byte) []byte { return s.computeMAC("datagram", data, nil) }
 
-func (s Secret) serve(conn net.Conn) error {
+func (s Secret) serverHandshake(conn net.Conn) error {
 	return withDeadline(conn, func() error {
 		var challenge [nonceBytes]byte
 		if _, err := rand.Read(challenge[:]); err != nil {
@@ -60,21 +61,21 @@
 		if _, err := conn.Write(challenge[:]); err != nil {
 			return errors.Wrap(err, "handshake")
 		}
-		reply := make([]byte, len(magic)+nonceBytes+sha256.Size)
-		if _, err := io.ReadFull(conn, reply); err != nil {
+		response := make([]byte, len(magic)+nonceBytes+sha256.Size)
+		if _, err := io.ReadFull(conn, response); err != nil {
 			return errors.Wrap(err, "handshake")
 		}
-		nonce := reply[len(magic) : len(magic)+nonceBytes]
-		proof := reply[len(magic)+nonceBytes:]
-		if string(reply[:len(magic)]) != magic || !hmac.Equal(proof, s.proof("client", challenge[:], nonce)) {
-			return ErrForeign
+		nonce := response[len(magic) : len(magic)+nonceBytes]
+		mac := response[len(magic)+nonceBytes:]
+		if string(response[:len(magic)]) != magic || !hmac.Equal(mac, s.computeMAC("client", challenge[:], nonce)) {
+			return ErrUnauthenticated
 		}
-		_, err := conn.Write(s.proof("server", challenge[:], nonce))
+		_, err := conn.Write(s.computeMAC("server", challenge[:], nonce))
 		return errors.Wrap(err, "handshake")
 	})
 }
 
-func (s Secret) ask(conn net.Conn) error {
+func (s Secret) clientHandshake(conn net.Conn) error {
 	return withDeadline(conn, func() error {
 		var challenge, nonce [nonceBytes]byte
 		if _, err := io.ReadFull(conn, challenge[:]); err != nil {
@@ -83,25 +84,26 @@
 		if _, err := rand.Read(nonce[:]); err != nil {
 			return errors.Wrap(err, "handshake")
 		}
-		message := append([]byte(magic), nonce[:]...)
-		message = append(message, s.proof("client", challenge[:], nonce[:])...)
-		if _, err := conn.Write(message); err != nil {
+		response := append([]byte(magic), nonce[:]...)
+		response = append(response, s.computeMAC("client", challenge[:], nonce[:])...)
+		if _, err := conn.Write(response); err != nil {
 			return errors.Wrap(err, "handshake")
 		}
-		var proof [sha256.Size]byte
-		if _, err := io.ReadFull(conn, proof[:]); err != nil {
-			return ErrForeign
+		var mac [sha256.Size]byte
+		// The server closes the connection if it rejects the client.
+		if _, err := io.ReadFull(conn, mac[:]); err != nil {
+			return ErrUnauthenticated
 		}
-		if !hmac.Equal(proof[:], s.proof("server", challenge[:], nonce[:])) {
-			return ErrForeign
+		if !hmac.Equal(mac[:], s.computeMAC("server", challenge[:], nonce[:])) {
+			return ErrUnauthenticated
 		}
 		return nil
 	})
 }
 
-func (s Secret) proof(side string, challenge, nonce []byte) []byte {
+func (s Secret) computeMAC(role string, challenge, nonce []byte) []byte {
 	mac := hmac.New(sha256.New, s.key)
-	mac.Write([]byte(side + "\x00" + s.cluster + "\x00"))
+	mac.Write([]byte(role + "\x00" + s.cluster + "\x00"))
 	mac.Write(challenge)
 	mac.Write(nonce)
 	return mac.Sum(nil)
--- a/pkg/linker/line.go
+++ b/pkg/linker/line.go
@@ -8,91 +8,93 @@
 	"github.com/pkg/errors"
 )
 
-const redialPause = 50 * time.Millisecond
+const redialBackoff = 50 * time.Millisecond
 
-// Line is the connection to one peer, opened when it is needed and again after a failure.
-type Line struct {
+// Peer is a remote instance with one connection, which is opened on demand and reopened after a failure.
+type Peer struct {
 	linker  *Linker
 	address string
-	// dialing lets one goroutine dial at a time; waiting for it blocks no lock.
-	dialing  chan struct{}
-	mu       sync.Mutex
-	client   *rpc.Client
-	failedAt time.Time
-	closed   bool
+	// dialSemaphore lets one goroutine dial at a time without holding mu while it dials.
+	dialSemaphore chan struct{}
+	mu            sync.Mutex
+	client        *rpc.Client
+	failedAt      time.Time
+	closed        bool
 }
 
-// NewLine returns a line to the peer at address, without a connection yet.
-func (l *Linker) NewLine(address string) *Line {
-	return &Line{linker: l, address: address, dialing: make(chan struct{}, 1)}
+// NewPeer returns the peer at address without opening a connection.
+func (l *Linker) NewPeer(address string) *Peer {
+	return &Peer{linker: l, address: address, dialSemaphore: make(chan struct{}, 1)}
 }
 
 // Address returns the address of the peer.
-func (l *Line) Address() string { return l.address }
+func (p *Peer) Address() string { return p.address }
 
-// Client returns the open connection or opens one.
-func (l *Line) Client() (*rpc.Client, error) {
-	if client, err := l.present(); client != nil || err != nil {
+// Client returns the client of the open connection, or opens a connection. It returns an error after Close, if dialing fails,
+// and for redialBackoff after dialing has failed.
+func (p *Peer) Client() (*rpc.Client, error) {
+	if client, err := p.existingClient(); client != nil || err != nil {
 		return client, err
 	}
-	l.dialing <- struct{}{}
-	defer func() { <-l.dialing }()
-	if client, err := l.present(); client != nil || err != nil {
+	p.dialSemaphore <- struct{}{}
+	defer func() { <-p.dialSemaphore }()
+	if client, err := p.existingClient(); client != nil || err != nil {
 		return client, err
 	}
-	client, err := l.linker.Connect(l.address)
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	client, err := p.linker.Connect(p.address)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if err != nil {
-		l.failedAt = time.Now()
+		p.failedAt = time.Now()
 		return nil, err
 	}
-	if l.closed {
+	if p.closed {
 		_ = client.Close()
-		return nil, errors.Errorf("connect to instance %s: the line is closed", l.address)
+		return nil, errors.Errorf("connect to instance %s: the peer is closed", p.address)
 	}
-	l.client = client
+	p.client = client
 	return client, nil
 }
 
-// Open returns the open connection, or nil; it never waits.
-func (l *Line) Open() *rpc.Client {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.client
+// CurrentClient returns the client of the open connection without blocking, or nil if none is open.
+func (p *Peer) CurrentClient() *rpc.Client {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.client
 }
 
-// Call makes one call and waits at most timeout for its end. A call on a connection that the peer had closed before was
-// not sent, and goes out on a new one.
-func (l *Line) Call(method string, query, reply any, timeout time.Duration) error {
-	err := l.call(method, query, reply, timeout)
+// Call makes a call and waits for it for at most timeout. If the connection turns out to be closed, the call was not sent
+// and is made once more on a new connection.
+func (p *Peer) Call(method string, query, reply any, timeout time.Duration) error {
+	err := p.call(method, query, reply, timeout)
 	if errors.Is(err, rpc.ErrShutdown) {
-		return l.call(method, query, reply, timeout)
+		return p.call(method, query, reply, timeout)
 	}
 	return err
 }
 
-func (l *Line) call(method string, query, reply any, timeout time.Duration) error {
-	client, err := l.Client()
+func (p *Peer) call(method string, query, reply any, timeout time.Duration) error {
+	client, err := p.Client()
 	if err != nil {
 		return err
 	}
 	call := client.Go(method, query, reply, make(chan *rpc.Call, 1))
-	return l.Await(client, call, timeout)
+	return p.AwaitOrDrop(client, call, timeout)
 }
 
-// Await waits for the end of a call and drops the connection when it does not end in time.
-func (l *Line) Await(client *rpc.Client, call *rpc.Call, timeout time.Duration) error {
-	ended, err := l.AwaitFor(client, call, timeout)
-	if ended {
+// AwaitOrDrop waits for a call to complete. If it does not complete within timeout, it closes the connection and returns an
+// error.
+func (p *Peer) AwaitOrDrop(client *rpc.Client, call *rpc.Call, timeout time.Duration) error {
+	completed, err := p.AwaitFor(client, call, timeout)
+	if completed {
 		return err
 	}
-	l.Drop(client)
-	return errors.Errorf("%s at instance %s: no answer within %s", call.ServiceMethod, l.address, timeout)
+	p.Drop(client)
+	return errors.Errorf("%s at instance %s: no answer within %s", call.ServiceMethod, p.address, timeout)
 }
 
-// AwaitFor waits for the end of a call and tells whether it came in time; a connection that failed is dropped.
-func (l *Line) AwaitFor(client *rpc.Client, call *rpc.Call, timeout time.Duration) (ended bool, err error) {
+// AwaitFor waits for a call to complete and reports whether it did within timeout. It closes a connection that has failed.
+func (p *Peer) AwaitFor(client *rpc.Client, call *rpc.Call, timeout time.Duration) (completed bool, err error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
@@ -100,44 +102,45 @@
 	case <-timer.C:
 		return false, nil
 	}
-	var refusal rpc.ServerError
-	if call.Error != nil && !errors.As(call.Error, &refusal) {
-		l.Drop(client)
+	// An error of the remote method leaves the connection usable.
+	var serverError rpc.ServerError
+	if call.Error != nil && !errors.As(call.Error, &serverError) {
+		p.Drop(client)
 	}
-	return true, errors.Wrapf(call.Error, "%s at instance %s", call.ServiceMethod, l.address)
+	return true, errors.Wrapf(call.Error, "%s at instance %s", call.ServiceMethod, p.address)
 }
 
-// Drop closes a connection that has failed.
-func (l *Line) Drop(client *rpc.Client) {
-	l.mu.Lock()
-	if l.client == client {
-		l.client = nil
+// Drop closes a connection that has failed, so that the next call opens a new one.
+func (p *Peer) Drop(client *rpc.Client) {
+	p.mu.Lock()
+	if p.client == client {
+		p.client = nil
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	_ = client.Close()
 }
 
-// Close closes the connection and opens no further one.
-func (l *Line) Close() {
-	l.mu.Lock()
-	l.closed = true
-	client := l.client
-	l.client = nil
-	l.mu.Unlock()
+// Close closes the connection; calls to Client return an error from then on.
+func (p *Peer) Close() {
+	p.mu.Lock()
+	p.closed = true
+	client := p.client
+	p.client = nil
+	p.mu.Unlock()
 	if client != nil {
 		_ = client.Close()
 	}
 }
 
-// present returns the open connection, nothing, or why none may be opened now.
-func (l *Line) present() (*rpc.Client, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
-		return nil, errors.Errorf("connect to instance %s: the line is closed", l.address)
+// existingClient returns the client of the open connection, nil if a connection may be opened, or an error if none may be.
+func (p *Peer) existingClient() (*rpc.Client, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return nil, errors.Errorf("connect to instance %s: the peer is closed", p.address)
 	}
-	if l.client == nil && time.Since(l.failedAt) < redialPause {
-		return nil, errors.Errorf("connect to instance %s: waiting before the next try", l.address)
+	if p.client == nil && time.Since(p.failedAt) < redialBackoff {
+		return nil, errors.Errorf("connect to instance %s: backing off before the next attempt", p.address)
 	}
-	return l.client, nil
+	return p.client, nil
 }
--- a/pkg/linker/linker.go
+++ b/pkg/linker/linker.go
@@ -11,27 +11,27 @@
 	"github.com/sourcegraph/conc"
 )
 
-// dialTimeout bounds the opening of a connection: three times the way there and back between regions, 40 ms; a peer without
-// power does not answer at all, and a lost opening packet is sent again only after a second.
+// dialTimeout limits the opening of a connection. It is more than three round trips of 40 ms between regions. A longer timeout
+// would not help: a peer that has lost power does not answer, and a lost SYN is retransmitted only after 1 s.
 const dialTimeout = 150 * time.Millisecond
 
 type (
-	// Dial opens a plain connection to an address.
+	// Dial opens a connection without TLS to an address and fails after timeout.
 	Dial func(address string, timeout time.Duration) (net.Conn, error)
 
-	// Option sets up a Linker.
+	// Option configures a Linker.
 	Option func(*Linker)
 
 	// Linker opens and accepts connections between instances.
 	Linker struct {
-		secret    Secret
-		dial      Dial
-		clientTLS func() *tls.Config
-		serverTLS func() *tls.Config
-		onFault   func(peer string, err error)
+		secret     Secret
+		dial       Dial
+		clientTLS  func() *tls.Config
+		serverTLS  func() *tls.Config
+		onRejected func(peer string, err error)
 	}
 
-	// Server accepts connections and serves the registered receivers on them.
+	// Server accepts authenticated connections and serves the registered receivers on them.
 	Server struct {
 		linker   *Linker
 		rpc      *rpc.Server
@@ -43,31 +43,31 @@
 	}
 )
 
-// WithDial sets how connections are opened.
+// WithDial sets the function that opens connections; the default dials TCP.
 func WithDial(dial Dial) Option {
 	return func(l *Linker) { l.dial = dial }
 }
 
-// WithTLS sets the TLS configurations, asked for at each connection.
+// WithTLS sets functions that return the TLS configuration for each new connection; without a configuration TLS is not used.
 func WithTLS(client, server func() *tls.Config) Option {
 	return func(l *Linker) { l.clientTLS, l.serverTLS = client, server }
 }
 
-// WithFaults sets who is told of connections that were refused.
-func WithFaults(onFault func(peer string, err error)) Option {
-	return func(l *Linker) { l.onFault = onFault }
+// WithRejectionHandler sets a function that is called for each incoming connection whose handshake failed.
+func WithRejectionHandler(onRejected func(peer string, err error)) Option {
+	return func(l *Linker) { l.onRejected = onRejected }
 }
 
-// New returns a linker for the instances that share secret.
+// New returns a Linker for the cluster of the secret.
 func New(secret Secret, options ...Option) *Linker {
-	linker := &Linker{secret: secret, dial: dialTCP, onFault: func(string, error) {}}
+	linker := &Linker{secret: secret, dial: dialTCP, onRejected: func(string, error) {}}
 	for _, option := range options {
 		option(linker)
 	}
 	return linker
 }
 
-// Connect opens an authenticated client connection to the peer.
+// Connect opens an authenticated client connection to the peer, or returns an error if dialing or the handshake fails.
 func (l *Linker) Connect(peer string) (*rpc.Client, error) {
 	conn, err := l.dial(peer, dialTimeout)
 	if err != nil {
@@ -76,14 +76,15 @@
 	if l.clientTLS != nil && l.clientTLS() != nil {
 		conn = tls.Client(conn, l.clientTLS())
 	}
-	if err := l.secret.ask(conn); err != nil {
+	if err := l.secret.clientHandshake(conn); err != nil {
 		_ = conn.Close()
 		return nil, errors.Wrapf(err, "connect to instance %s", peer)
 	}
 	return rpc.NewClientWithCodec(newClientCodec(conn)), nil
 }
 
-// Serve accepts connections on listener until Close and serves receivers by name.
+// Serve accepts connections on listener and serves each receiver under its name until Close. It returns an error if a receiver
+// cannot be registered.
 func (l *Linker) Serve(listener net.Listener, receivers map[string]any) (*Server, error) {
 	server := &Server{linker: l, rpc: rpc.NewServer(), listener: listener, conns: map[net.Conn]bool{}}
 	for name, receiver := range receivers {
@@ -91,11 +92,11 @@
 			return nil, errors.Wrapf(err, "register %s", name)
 		}
 	}
-	server.group.Go(server.accept)
+	server.group.Go(server.acceptLoop)
 	return server, nil
 }
 
-// Close stops accepting and closes every connection.
+// Close closes the listener and all connections, and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -107,41 +108,42 @@
 	s.group.Wait()
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !s.add(conn) {
+		if !s.trackConn(conn) {
 			_ = conn.Close()
 			return
 		}
-		s.group.Go(func() { s.serve(conn) })
+		s.group.Go(func() { s.serveConn(conn) })
 	}
 }
 
-func (s *Server) serve(raw net.Conn) {
-	defer s.forget(raw)
+func (s *Server) serveConn(raw net.Conn) {
+	defer s.untrackConn(raw)
 	conn := raw
 	if s.linker.serverTLS != nil && s.linker.serverTLS() != nil {
 		conn = tls.Server(raw, s.linker.serverTLS())
 	}
-	if err := s.linker.secret.serve(conn); err != nil {
-		s.linker.onFault(raw.RemoteAddr().String(), err)
+	if err := s.linker.secret.serverHandshake(conn); err != nil {
+		s.linker.onRejected(raw.RemoteAddr().String(), err)
 		return
 	}
 	s.rpc.ServeCodec(newServerCodec(conn))
 }
 
-func (s *Server) add(conn net.Conn) bool {
+// trackConn registers a connection and reports whether the server is still open.
+func (s *Server) trackConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[conn] = true
 	return !s.closed
 }
 
-func (s *Server) forget(conn net.Conn) {
+func (s *Server) untrackConn(conn net.Conn) {
 	_ = conn.Close()
 	s.mu.Lock()
 	delete(s.conns, conn)
--- a/pkg/linker/linker_test.go
+++ b/pkg/linker/linker_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Echo is the receiver of the tests.
+// Echo is the RPC receiver of the tests.
 type Echo struct{}
 
 // Size returns the length of its argument.
@@ -23,7 +23,7 @@
 	return nil
 }
 
-func serve(t *testing.T, l *Linker) string {
+func startServer(t *testing.T, l *Linker) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,35 +37,35 @@
 	return listener.Addr().String()
 }
 
-func TestOnlyHoldersOfTheKeyConnect(t *testing.T) {
-	faults := make(chan error, 8)
-	address := serve(t, New(NewSecret("c", []byte("key")), WithFaults(func(_ string, err error) { faults <- err })))
+func TestConnectRequiresTheClusterKey(t *testing.T) {
+	rejections := make(chan error, 8)
+	address := startServer(t, New(NewSecret("c", []byte("key")), WithRejectionHandler(func(_ string, err error) { rejections <- err })))
 	tests := []struct {
-		name   string
-		secret Secret
-		ok     bool
+		name     string
+		secret   Secret
+		connects bool
 	}{
-		{"same", NewSecret("c", []byte("key")), true},
+		{"same key", NewSecret("c", []byte("key")), true},
 		{"other key", NewSecret("c", []byte("other")), false},
 		{"other cluster", NewSecret("d", []byte("key")), false},
 		{"no key", NewSecret("c", nil), false},
 	}
 	for _, test := range tests {
 		client, err := New(test.secret).Connect(address)
-		if (err == nil) != test.ok {
-			t.Errorf("%s: %v", test.name, err)
+		if (err == nil) != test.connects {
+			t.Errorf("%s: got error %v, want a connection: %t", test.name, err, test.connects)
 		}
 		if client != nil {
 			_ = client.Close()
 		}
-		if !test.ok && (<-faults == nil || !strings.Contains(err.Error(), address)) {
-			t.Errorf("%s: the error %v does not name the peer", test.name, err)
+		if !test.connects && (<-rejections == nil || !strings.Contains(err.Error(), address)) {
+			t.Errorf("%s: got error %v, want one that names peer %s", test.name, err, address)
 		}
 	}
 }
 
-func TestStrangerIsNotAnswered(t *testing.T) {
-	address := serve(t, New(NewSecret("c", []byte("key"))))
+func TestUnauthenticatedClientGetsOnlyTheChallenge(t *testing.T) {
+	address := startServer(t, New(NewSecret("c", []byte("key"))))
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -84,12 +84,12 @@
 		}
 	}
 	if received > nonceBytes {
-		t.Fatalf("%d bytes sent to a stranger, the challenge has %d", received, nonceBytes)
+		t.Fatalf("got %d bytes without authentication, want at most the %d bytes of the challenge", received, nonceBytes)
 	}
 }
 
-func TestOversizedMessageIsRefused(t *testing.T) {
-	address := serve(t, New(NewSecret("c", []byte("key"))))
+func TestOversizedMessageIsRejected(t *testing.T) {
+	address := startServer(t, New(NewSecret("c", []byte("key"))))
 	client, err := New(NewSecret("c", []byte("key"))).Connect(address)
 	if err != nil {
 		t.Fatal(err)
@@ -97,30 +97,30 @@
 	defer func() { _ = client.Close() }()
 	var size int
 	if err := client.Call("Echo.Size", make([]byte, 1<<20), &size); err != nil || size != 1<<20 {
-		t.Fatalf("a message of 1 MiB: %d, %v", size, err)
+		t.Fatalf("message of 1 MiB: got %d bytes and error %v, want %d bytes and no error", size, err, 1<<20)
 	}
-	if err := client.Call("Echo.Size", make([]byte, maxMessage+1), &size); err == nil {
-		t.Fatal("a message beyond the bound was taken")
+	if err := client.Call("Echo.Size", make([]byte, maxMessageBytes+1), &size); err == nil {
+		t.Fatalf("message of more than %d bytes was accepted, want an error", maxMessageBytes)
 	}
 }
 
-func TestMutualTLS(t *testing.T) {
+func TestMutualTLSRequiresATrustedCertificate(t *testing.T) {
 	authority, certificate := newCertificate(t)
-	_, stranger := newCertificate(t)
+	_, untrusted := newCertificate(t)
 	pool := x509.NewCertPool()
 	pool.AddCert(authority)
 	server := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{certificate}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert}
-	address := serve(t, New(NewSecret("c", []byte("key")), WithTLS(nil, func() *tls.Config { return server })))
+	address := startServer(t, New(NewSecret("c", []byte("key")), WithTLS(nil, func() *tls.Config { return server })))
 	tests := []struct {
 		name         string
 		certificates []tls.Certificate
-		ok           bool
-	}{{"own certificate", []tls.Certificate{certificate}, true}, {"of another authority", []tls.Certificate{stranger}, false}, {"none", nil, false}}
+		connects     bool
+	}{{"trusted certificate", []tls.Certificate{certificate}, true}, {"certificate of another authority", []tls.Certificate{untrusted}, false}, {"no certificate", nil, false}}
 	for _, test := range tests {
 		config := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: test.certificates, RootCAs: pool, ServerName: "lovagedeck"}
 		client, err := New(NewSecret("c", []byte("key")), WithTLS(func() *tls.Config { return config }, nil)).Connect(address)
-		if (err == nil) != test.ok {
-			t.Errorf("%s: %v", test.name, err)
+		if (err == nil) != test.connects {
+			t.Errorf("%s: got error %v, want a connection: %t", test.name, err, test.connects)
 		}
 		if client != nil {
 			_ = client.Close()
--- a/pkg/lister/doc.go
+++ b/pkg/lister/doc.go
@@ -1,2 +1,3 @@
-// Package lister reads the platform's list of live and leaving leafs, which lags.
+// Package lister polls the platform's list of live and leaving leafs, which lags behind their actual state, and keeps the
+// newest version of it on each instance.
 package lister
--- a/pkg/lister/platform.go
+++ b/pkg/lister/platform.go
@@ -1,4 +1,4 @@
-// The platform answers GET with its list and a version that changes with it:
+// The platform answers GET requests with the list and its version:
 //
 //	{"version":"17","leafs":[{"id":"customs-desk-01-ub-a-0","service":"customs-desk-01","data-centre":"ub-a","address":"127.0.0.1:9101","state":"live"}]}
 
@@ -19,14 +19,14 @@
 const (
 	pollInterval = 300 * time.Millisecond
 	pollTimeout  = time.Second
-	// StateLive marks a leaf that takes work.
+	// StateLive marks a leaf that accepts requests.
 	StateLive = "live"
-	// StateLeaving marks a leaf that is being taken away.
+	// StateLeaving marks a leaf that the platform is removing.
 	StateLeaving = "leaving"
 )
 
 type (
-	// Leaf is one entry of the list.
+	// Leaf is an entry of the platform's list; State is StateLive or StateLeaving.
 	Leaf struct {
 		ID         string `json:"id"`
 		Service    string `json:"service"`
@@ -35,14 +35,14 @@
 		State      string `json:"state"`
 	}
 
-	// List is the answer of the platform.
+	// List is the response of the platform.
 	List struct {
 		Version string `json:"version"`
 		Leafs   []Leaf `json:"leafs"`
 	}
 
-	// Client polls the list.
-	Client struct {
+	// Poller polls the platform's list of leafs.
+	Poller struct {
 		url     string
 		onLeafs func([]coordinator.LeafRecord)
 		onFault func(error)
@@ -53,74 +53,74 @@
 	}
 )
 
-// New returns a client that hands each changed list to onLeafs.
-func New(url string, onLeafs func([]coordinator.LeafRecord), onFault func(error)) *Client {
-	return &Client{url: url, onLeafs: onLeafs, onFault: onFault, stop: make(chan struct{})}
+// New returns a Poller that calls onLeafs with each changed list and onFault with each failed poll.
+func New(url string, onLeafs func([]coordinator.LeafRecord), onFault func(error)) *Poller {
+	return &Poller{url: url, onLeafs: onLeafs, onFault: onFault, stop: make(chan struct{})}
 }
 
-// Run polls until Close.
-func (c *Client) Run() { c.group.Go(c.loop) }
+// Run starts polling in the background until Close.
+func (p *Poller) Run() { p.group.Go(p.pollLoop) }
 
-// Close ends the polling.
-func (c *Client) Close() {
-	close(c.stop)
-	c.group.Wait()
-	c.client.CloseIdleConnections()
+// Close stops polling and waits for a poll in progress.
+func (p *Poller) Close() {
+	close(p.stop)
+	p.group.Wait()
+	p.client.CloseIdleConnections()
 }
 
-func (c *Client) loop() {
+func (p *Poller) pollLoop() {
 	for {
-		if err := c.poll(); err != nil {
-			c.onFault(err)
+		if err := p.poll(); err != nil {
+			p.onFault(err)
 		}
 		select {
-		case <-c.stop:
+		case <-p.stop:
 			return
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// poll reads the list unless the platform says that it has not changed.
-func (c *Client) poll() error {
+// poll requests the list once and skips a list with an unchanged version.
+func (p *Poller) poll() error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI(c.url)
-	request.Header.Set(fasthttp.HeaderIfNoneMatch, c.version)
-	if err := c.client.DoTimeout(request, response, pollTimeout); err != nil {
-		return errors.Wrap(err, "platform: poll the list")
+	request.SetRequestURI(p.url)
+	request.Header.Set(fasthttp.HeaderIfNoneMatch, p.version)
+	if err := p.client.DoTimeout(request, response, pollTimeout); err != nil {
+		return errors.Wrap(err, "platform: poll list of leafs")
 	}
 	switch response.StatusCode() {
 	case fasthttp.StatusNotModified:
 		return nil
 	case fasthttp.StatusOK:
 	default:
-		return errors.Errorf("platform: poll the list: status %d", response.StatusCode())
+		return errors.Errorf("platform: poll list of leafs: got status %d, want 200 or 304", response.StatusCode())
 	}
 	var list List
 	if err := json.Unmarshal(response.Body(), &list); err != nil {
-		return errors.Wrap(err, "platform: decode the list")
+		return errors.Wrap(err, "platform: decode list of leafs")
 	}
-	if list.Version != "" && list.Version == c.version {
+	if list.Version != "" && list.Version == p.version {
 		return nil
 	}
-	c.version = list.Version
-	c.onLeafs(records(list.Leafs))
+	p.version = list.Version
+	p.onLeafs(toRecords(list.Leafs))
 	return nil
 }
 
-// records leaves out entries without identifier or address.
-func records(leafs []Leaf) []coordinator.LeafRecord {
-	kept := make([]coordinator.LeafRecord, 0, len(leafs))
+// toRecords converts the list and skips entries without an identifier or an address.
+func toRecords(leafs []Leaf) []coordinator.LeafRecord {
+	result := make([]coordinator.LeafRecord, 0, len(leafs))
 	for _, leaf := range leafs {
 		if leaf.ID == "" || leaf.Address == "" {
 			continue
 		}
-		kept = append(kept, coordinator.LeafRecord{
+		result = append(result, coordinator.LeafRecord{
 			ID: assigner.LeafID(leaf.ID), Service: leaf.Service, DataCentre: leaf.DataCentre,
 			Address: leaf.Address, IsDraining: leaf.State != StateLive,
 		})
 	}
-	return kept
+	return result
 }
--- a/pkg/lister/roster.go
+++ b/pkg/lister/roster.go
@@ -1,5 +1,5 @@
-// A roster is the list of leafs as one control instance read it, with a stamp
-// that orders the readings of all control instances:
+// A roster is the list of leafs as the leader of the control instances read it
+// from the platform, with a stamp that orders the rosters of all leaders:
 //
 //	{Stamp:{Term:3 Sequence:17} Age:120ms Leafs:[{ID:"i-7f3a" Service:"customs-desk-01" ...}]}
 
@@ -11,17 +11,18 @@
 	"time"
 )
 
-// coldTolerance is how far two readings of the end of a warm-up may differ without being news; the list is rounded and lags.
-const coldTolerance = time.Second
+// warmUpTolerance is the difference up to which two end times of a warm-up count as equal. The platform's list is rounded and
+// lags.
+const warmUpTolerance = time.Second
 
 type (
-	// RosterStamp orders rosters: by the term of the leader that read them, then by its count.
+	// RosterStamp orders rosters by the term of the leader that published them, then by its sequence number.
 	RosterStamp struct {
 		Term     uint64
 		Sequence uint64
 	}
 
-	// RosterLeaf is one leaf; ColdFor is how much longer it warms up, counted from the reading.
+	// RosterLeaf is a leaf of a roster; ColdFor is its remaining warm-up time.
 	RosterLeaf struct {
 		ID         string
 		Service    string
@@ -32,39 +33,39 @@
 		ColdFor    time.Duration
 	}
 
-	// Roster is one reading of the list, or what changed since an earlier one; Age is how old the reading is when the
-	// roster is handed over.
+	// Roster is the list of leafs, or the changes to it since an earlier roster. The warm-up times
+	// in it hold at Age before its receipt. A RosterStore computes them when it returns a roster and leaves Age at 0.
 	Roster struct {
 		Stamp RosterStamp
 		Age   time.Duration
-		// Since is the sequence of the same term that the roster continues; 0 where it is whole.
+		// Since is the sequence number in the same term that the changes are based on, or 0 for a full roster.
 		Since   uint64
 		Leafs   []RosterLeaf
 		Removed []string
 	}
 
-	// Reading tells which roster an instance holds, and how long ago the list was read and still said that.
+	// Reading identifies the roster that an instance holds; Age is the time since the list was last read with that content.
 	Reading struct {
 		Stamp RosterStamp
 		Age   time.Duration
 	}
 
-	// Board keeps the newest roster of an instance, with the changes that led to it.
-	Board struct {
+	// RosterStore stores the newest roster known to an instance and the recent changes that led to it.
+	RosterStore struct {
 		now     func() time.Duration
 		mu      sync.Mutex
 		stamp   RosterStamp
 		readAt  time.Duration
-		leafs   map[string]boardLeaf
+		leafs   map[string]leafEntry
 		removed []removal
-		// oldest is the sequence from which on the changes are known.
-		oldest uint64
+		// oldestSequence is the lowest sequence number since which all changes are known.
+		oldestSequence uint64
 	}
 
-	boardLeaf struct {
-		leaf      RosterLeaf
-		coldUntil time.Duration
-		changed   uint64
+	leafEntry struct {
+		leaf            RosterLeaf
+		warmUpUntil     time.Duration
+		changedSequence uint64
 	}
 
 	removal struct {
@@ -73,187 +74,190 @@
 	}
 )
 
-// neverRead lies before the reading of any roster, on a clock that begins with the instance.
+// neverRead stands for a list that was never read. It lies before any reading on a clock that starts with the instance, as a
+// reading of another instance may have a negative time.
 const neverRead = -365 * 24 * time.Hour
 
-// maxRemovals bounds the removals that a board remembers; who lags further gets the whole list.
+// maxRemovals limits the removals that are kept. An instance that is further behind gets a full roster.
 const maxRemovals = 4096
 
-// NewBoard returns an empty board on the given steady clock.
-func NewBoard(now func() time.Duration) *Board {
-	return &Board{now: now, leafs: map[string]boardLeaf{}, readAt: neverRead}
+// NewRosterStore returns an empty store that uses the given monotonic clock.
+func NewRosterStore(now func() time.Duration) *RosterStore {
+	return &RosterStore{now: now, leafs: map[string]leafEntry{}, readAt: neverRead}
 }
 
-// Newer tells whether a stamp is later than another.
-func (s RosterStamp) Newer(other RosterStamp) bool {
+// IsNewer reports whether the stamp is newer than other.
+func (s RosterStamp) IsNewer(other RosterStamp) bool {
 	if s.Term != other.Term {
 		return s.Term > other.Term
 	}
 	return s.Sequence > other.Sequence
 }
 
-// Publish takes a reading of this instance, which leads in the given term, and tells whether it was news.
-func (b *Board) Publish(term uint64, leafs []RosterLeaf) bool {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if term < b.stamp.Term {
+// Publish stores a list that this instance read as leader of the given term, and reports whether the roster got a new stamp.
+func (s *RosterStore) Publish(term uint64, leafs []RosterLeaf) bool {
+	now := s.now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if term < s.stamp.Term {
 		return false
 	}
-	stamp := RosterStamp{Term: term, Sequence: b.stamp.Sequence + 1}
-	if term != b.stamp.Term {
+	stamp := RosterStamp{Term: term, Sequence: s.stamp.Sequence + 1}
+	if term != s.stamp.Term {
 		stamp.Sequence = 1
-		b.removed, b.oldest = nil, 1
+		s.removed, s.oldestSequence = nil, 1
 	}
-	before := len(b.removed)
-	changed := b.replace(leafs, stamp.Sequence, now) || len(b.removed) > before
-	b.readAt = now
-	if !changed && term == b.stamp.Term {
+	removedBefore := len(s.removed)
+	changed := s.replace(leafs, stamp.Sequence, now) || len(s.removed) > removedBefore
+	s.readAt = now
+	if !changed && term == s.stamp.Term {
 		return false
 	}
-	b.stamp = stamp
+	s.stamp = stamp
 	return true
 }
 
-// Take keeps a roster of another instance where it is newer and fits, and tells whether it did.
-func (b *Board) Take(roster *Roster) bool {
+// Apply applies a roster of another instance if it is newer and is full or based on a roster that was applied before, and
+// reports whether it did.
+func (s *RosterStore) Apply(roster *Roster) bool {
 	if roster == nil {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !roster.Stamp.Newer(b.stamp) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !roster.Stamp.IsNewer(s.stamp) {
 		return false
 	}
-	readAt := b.now() - roster.Age
+	readAt := s.now() - roster.Age
 	if roster.Since == 0 {
-		b.removed, b.oldest = nil, roster.Stamp.Sequence
-		b.replace(roster.Leafs, roster.Stamp.Sequence, readAt)
-		b.removed = nil
-		b.stamp = roster.Stamp
+		s.removed, s.oldestSequence = nil, roster.Stamp.Sequence
+		s.replace(roster.Leafs, roster.Stamp.Sequence, readAt)
+		s.removed = nil
+		s.stamp = roster.Stamp
 		return true
 	}
-	if roster.Stamp.Term != b.stamp.Term || roster.Since > b.stamp.Sequence {
+	if roster.Stamp.Term != s.stamp.Term || roster.Since > s.stamp.Sequence {
 		return false
 	}
 	for _, leaf := range roster.Leafs {
-		b.leafs[leaf.ID] = boardLeaf{leaf: leaf, coldUntil: readAt + leaf.ColdFor, changed: roster.Stamp.Sequence}
+		s.leafs[leaf.ID] = leafEntry{leaf: leaf, warmUpUntil: readAt + leaf.ColdFor, changedSequence: roster.Stamp.Sequence}
 	}
 	for _, id := range roster.Removed {
-		b.remove(id, roster.Stamp.Sequence)
+		s.remove(id, roster.Stamp.Sequence)
 	}
-	b.stamp = roster.Stamp
+	s.stamp = roster.Stamp
 	return true
 }
 
-// Stamp returns the stamp of the newest roster.
-func (b *Board) Stamp() RosterStamp {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.stamp
+// Stamp returns the stamp of the newest roster, or the zero stamp if there is none.
+func (s *RosterStore) Stamp() RosterStamp {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stamp
 }
 
-// Reading returns which roster the board holds and how old its reading is.
-func (b *Board) Reading() Reading {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return Reading{Stamp: b.stamp, Age: b.now() - b.readAt}
+// Reading returns the stamp of the newest roster and the time since the list was last read with that content.
+func (s *RosterStore) Reading() Reading {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return Reading{Stamp: s.stamp, Age: s.now() - s.readAt}
 }
 
-// Confirm takes another instance's word that the list still says what this board holds.
-func (b *Board) Confirm(reading Reading) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if reading.Stamp == b.stamp && b.stamp != (RosterStamp{}) {
-		b.readAt = max(b.readAt, b.now()-reading.Age)
+// Confirm updates the time of the last reading if another instance has read the same roster more recently.
+func (s *RosterStore) Confirm(reading Reading) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if reading.Stamp == s.stamp && s.stamp != (RosterStamp{}) {
+		s.readAt = max(s.readAt, s.now()-reading.Age)
 	}
 }
 
-// ReadAt returns when the list was last read, here or elsewhere, and said what the board holds; false before the first
-// roster. The time is negative for a reading from before this instance started.
-func (b *Board) ReadAt() (time.Duration, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.readAt, b.stamp != RosterStamp{}
+// LastReadAt returns the time at which any instance last read the list with the content of the newest roster, and reports
+// whether there is a roster. The time is negative for a reading from before this instance started.
+func (s *RosterStore) LastReadAt() (time.Duration, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.readAt, s.stamp != RosterStamp{}
 }
 
-// Since returns what is newer than the stamp, whole where the changes are not known, or nil where nothing is.
-func (b *Board) Since(stamp RosterStamp) *Roster {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.stamp.Newer(stamp) {
+// ChangesSince returns the changes after the given stamp, a full roster if they are not all known, or nil if there are none.
+func (s *RosterStore) ChangesSince(stamp RosterStamp) *Roster {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.stamp.IsNewer(stamp) {
 		return nil
 	}
 	since := stamp.Sequence
-	if stamp.Term != b.stamp.Term || since < b.oldest {
+	if stamp.Term != s.stamp.Term || since < s.oldestSequence {
 		since = 0
 	}
-	return b.roster(since)
+	return s.rosterSince(since)
 }
 
-// Whole returns the newest roster.
-func (b *Board) Whole() Roster {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return *b.roster(0)
+// FullRoster returns the newest roster in full.
+func (s *RosterStore) FullRoster() Roster {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return *s.rosterSince(0)
 }
 
-func (b *Board) roster(since uint64) *Roster {
-	now := b.now()
-	roster := &Roster{Stamp: b.stamp, Since: since}
-	for _, entry := range b.leafs {
-		if since != 0 && entry.changed <= since {
+func (s *RosterStore) rosterSince(since uint64) *Roster {
+	now := s.now()
+	roster := &Roster{Stamp: s.stamp, Since: since}
+	for _, entry := range s.leafs {
+		if since != 0 && entry.changedSequence <= since {
 			continue
 		}
 		leaf := entry.leaf
-		leaf.ColdFor = max(0, entry.coldUntil-now)
+		leaf.ColdFor = max(0, entry.warmUpUntil-now)
 		roster.Leafs = append(roster.Leafs, leaf)
 	}
 	sort.Slice(roster.Leafs, func(i, j int) bool { return roster.Leafs[i].ID < roster.Leafs[j].ID })
 	if since == 0 {
 		return roster
 	}
-	for _, gone := range b.removed {
-		if _, back := b.leafs[gone.id]; gone.sequence > since && !back {
-			roster.Removed = append(roster.Removed, gone.id)
+	for _, entry := range s.removed {
+		if _, isListed := s.leafs[entry.id]; entry.sequence > since && !isListed {
+			roster.Removed = append(roster.Removed, entry.id)
 		}
 	}
 	return roster
 }
 
-// replace takes a whole list and tells whether a leaf is new or differs.
-func (b *Board) replace(leafs []RosterLeaf, sequence uint64, readAt time.Duration) bool {
+// replace replaces the list and reports whether a leaf was added or changed. It does not report removals.
+func (s *RosterStore) replace(leafs []RosterLeaf, sequence uint64, readAt time.Duration) bool {
 	changed := false
 	listed := make(map[string]bool, len(leafs))
 	for _, leaf := range leafs {
 		listed[leaf.ID] = true
-		entry := boardLeaf{leaf: leaf, coldUntil: readAt + leaf.ColdFor, changed: sequence}
-		if old, known := b.leafs[leaf.ID]; known && old.same(entry, readAt) {
+		entry := leafEntry{leaf: leaf, warmUpUntil: readAt + leaf.ColdFor, changedSequence: sequence}
+		if old, known := s.leafs[leaf.ID]; known && old.equals(entry, readAt) {
 			continue
 		}
-		b.leafs[leaf.ID] = entry
+		s.leafs[leaf.ID] = entry
 		changed = true
 	}
-	for id := range b.leafs {
+	for id := range s.leafs {
 		if !listed[id] {
-			b.remove(id, sequence)
+			s.remove(id, sequence)
 		}
 	}
 	return changed
 }
 
-func (b *Board) remove(id string, sequence uint64) {
-	delete(b.leafs, id)
-	b.removed = append(b.removed, removal{id: id, sequence: sequence})
-	if len(b.removed) > maxRemovals {
-		b.oldest = b.removed[0].sequence + 1
-		b.removed = b.removed[1:]
+func (s *RosterStore) remove(id string, sequence uint64) {
+	delete(s.leafs, id)
+	s.removed = append(s.removed, removal{id: id, sequence: sequence})
+	if len(s.removed) > maxRemovals {
+		s.oldestSequence = s.removed[0].sequence + 1
+		s.removed = s.removed[1:]
 	}
 }
 
-// same compares two readings of a leaf; the end of a warm-up counts only where it moved and is still to come.
-func (e boardLeaf) same(other boardLeaf, now time.Duration) bool {
-	if (max(now, e.coldUntil) - max(now, other.coldUntil)).Abs() > coldTolerance {
+// equals reports whether two readings of a leaf agree. The ends of their warm-ups may differ by up to warmUpTolerance, and
+// by any amount if both lie before now.
+func (e leafEntry) equals(other leafEntry, now time.Duration) bool {
+	if (max(now, e.warmUpUntil) - max(now, other.warmUpUntil)).Abs() > warmUpTolerance {
 		return false
 	}
 	before, after := e.leaf, other.leaf
--- a/pkg/lister/roster_test.go
+++ b/pkg/lister/roster_test.go
@@ -6,112 +6,113 @@
 	"time"
 )
 
-func leaf(id, address string) RosterLeaf {
+func newLeaf(id, address string) RosterLeaf {
 	return RosterLeaf{ID: id, Service: "s", DataCentre: "a", Address: address, Slots: 2}
 }
 
-// A control instance that is cut off from the one that reads the list still grants leases; its reading grows old.
-func TestReadingGrowsOldUntilItIsConfirmed(t *testing.T) {
+// A control instance that is cut off from the leader still grants leases, so the age of its reading must show that its list of
+// leafs may be outdated.
+func TestReadingAgesUntilConfirmed(t *testing.T) {
 	now := time.Minute
 	clock := func() time.Duration { return now }
-	leader, follower := NewBoard(clock), NewBoard(clock)
-	leader.Publish(3, []RosterLeaf{leaf("1", "x:1")})
-	follower.Take(leader.Since(follower.Stamp()))
+	leader, follower := NewRosterStore(clock), NewRosterStore(clock)
+	leader.Publish(3, []RosterLeaf{newLeaf("1", "x:1")})
+	follower.Apply(leader.ChangesSince(follower.Stamp()))
 	follower.Confirm(leader.Reading())
 	now += 5 * time.Second
 	if age := follower.Reading().Age; age != 5*time.Second {
-		t.Errorf("the reading is %v old, want 5s", age)
+		t.Errorf("unconfirmed reading: got age %v, want 5s", age)
 	}
-	leader.Publish(3, []RosterLeaf{leaf("1", "x:1")})
+	leader.Publish(3, []RosterLeaf{newLeaf("1", "x:1")})
 	now += time.Second
 	follower.Confirm(leader.Reading())
 	if age := follower.Reading().Age; age != time.Second {
-		t.Errorf("the confirmed reading is %v old, want 1s", age)
+		t.Errorf("confirmed reading: got age %v, want 1s", age)
 	}
-	leader.Publish(3, []RosterLeaf{leaf("2", "x:2")})
+	leader.Publish(3, []RosterLeaf{newLeaf("2", "x:2")})
 	follower.Confirm(leader.Reading())
 	if age := follower.Reading().Age; age != time.Second {
-		t.Errorf("a reading of another list confirmed this one: %v old", age)
+		t.Errorf("reading confirmed with the stamp of another list: got age %v, want 1s", age)
 	}
 }
 
-func TestBoardHandsOutWhatChanged(t *testing.T) {
+func TestSinceReturnsOnlyChanges(t *testing.T) {
 	now := time.Minute
 	clock := func() time.Duration { return now }
-	leader, follower := NewBoard(clock), NewBoard(clock)
-	leader.Publish(3, []RosterLeaf{leaf("1", "x:1"), leaf("2", "x:2")})
-	whole := leader.Since(follower.Stamp())
-	if whole.Since != 0 || len(whole.Leafs) != 2 || !follower.Take(whole) {
-		t.Fatalf("the first roster is not whole or not taken: %+v", whole)
+	leader, follower := NewRosterStore(clock), NewRosterStore(clock)
+	leader.Publish(3, []RosterLeaf{newLeaf("1", "x:1"), newLeaf("2", "x:2")})
+	full := leader.ChangesSince(follower.Stamp())
+	if full.Since != 0 || len(full.Leafs) != 2 || !follower.Apply(full) {
+		t.Fatalf("first roster: got %+v, want a full roster of 2 leafs that the follower applies", full)
 	}
-	if leader.Publish(3, []RosterLeaf{leaf("2", "x:2"), leaf("1", "x:1")}) {
-		t.Error("the same list in another order is news")
+	if leader.Publish(3, []RosterLeaf{newLeaf("2", "x:2"), newLeaf("1", "x:1")}) {
+		t.Error("list in another order: got a new stamp, want none")
 	}
-	leaving := leaf("1", "x:1")
+	leaving := newLeaf("1", "x:1")
 	leaving.Leaving = true
-	leader.Publish(3, []RosterLeaf{leaving, leaf("3", "x:3")})
-	change := leader.Since(follower.Stamp())
-	if change.Since == 0 || len(change.Leafs) != 2 || !reflect.DeepEqual(change.Removed, []string{"2"}) {
-		t.Fatalf("the change is %+v, want leafs 1 and 3 and the removal of 2", change)
+	leader.Publish(3, []RosterLeaf{leaving, newLeaf("3", "x:3")})
+	changes := leader.ChangesSince(follower.Stamp())
+	if changes.Since == 0 || len(changes.Leafs) != 2 || !reflect.DeepEqual(changes.Removed, []string{"2"}) {
+		t.Fatalf("got changes %+v, want leafs 1 and 3 and the removal of leaf 2", changes)
 	}
-	if !follower.Take(change) {
-		t.Fatal("the change is not taken")
+	if !follower.Apply(changes) {
+		t.Fatalf("changes %+v were not applied", changes)
 	}
-	if got, want := follower.Whole().Leafs, leader.Whole().Leafs; !reflect.DeepEqual(got, want) {
-		t.Errorf("the follower has %+v, the leader %+v", got, want)
+	if got, want := follower.FullRoster().Leafs, leader.FullRoster().Leafs; !reflect.DeepEqual(got, want) {
+		t.Errorf("follower: got leafs %+v, want %+v as on the leader", got, want)
 	}
-	if leader.Since(follower.Stamp()) != nil {
-		t.Error("there is still something newer")
+	if leader.ChangesSince(follower.Stamp()) != nil {
+		t.Error("follower is up to date: got changes, want none")
 	}
 }
 
-func TestBoardKeepsTheNewerTerm(t *testing.T) {
+func TestRosterOfEarlierTermIsRejected(t *testing.T) {
 	clock := func() time.Duration { return time.Minute }
-	board := NewBoard(clock)
-	board.Publish(5, []RosterLeaf{leaf("1", "x:1")})
-	if board.Publish(4, nil) {
-		t.Error("a leader of an earlier term replaced the list")
+	store := NewRosterStore(clock)
+	store.Publish(5, []RosterLeaf{newLeaf("1", "x:1")})
+	if store.Publish(4, nil) {
+		t.Error("list published in term 4 replaced that of term 5")
 	}
-	if board.Take(&Roster{Stamp: RosterStamp{Term: 4, Sequence: 99}}) {
-		t.Error("a roster of an earlier term was taken")
+	if store.Apply(&Roster{Stamp: RosterStamp{Term: 4, Sequence: 99}}) {
+		t.Error("roster of term 4 was applied over one of term 5")
 	}
-	if !board.Publish(6, []RosterLeaf{leaf("1", "x:1")}) {
-		t.Error("the first list of a term was not taken as news")
+	if !store.Publish(6, []RosterLeaf{newLeaf("1", "x:1")}) {
+		t.Error("first list of term 6: got no new stamp, want one")
 	}
-	if got := board.Since(RosterStamp{Term: 5, Sequence: 1}); got == nil || got.Since != 0 {
-		t.Errorf("a reader of an earlier term gets %+v, want the whole list", got)
+	if got := store.ChangesSince(RosterStamp{Term: 5, Sequence: 1}); got == nil || got.Since != 0 {
+		t.Errorf("changes since a stamp of term 5: got %+v, want a full roster", got)
 	}
 }
 
-func TestBoardTakesOnlyFittingChanges(t *testing.T) {
+func TestChangesWithUnknownBaseAreRejected(t *testing.T) {
 	clock := func() time.Duration { return time.Minute }
-	board := NewBoard(clock)
-	board.Publish(1, []RosterLeaf{leaf("1", "x:1")})
-	if board.Take(&Roster{Stamp: RosterStamp{Term: 1, Sequence: 9}, Since: 8}) {
-		t.Error("a change that begins behind the board was taken")
+	store := NewRosterStore(clock)
+	store.Publish(1, []RosterLeaf{newLeaf("1", "x:1")})
+	if store.Apply(&Roster{Stamp: RosterStamp{Term: 1, Sequence: 9}, Since: 8}) {
+		t.Error("changes since sequence 8 were applied to a roster with sequence 1")
 	}
-	if board.Take(&Roster{Stamp: RosterStamp{Term: 2, Sequence: 9}, Since: 1}) {
-		t.Error("a change of another term was taken")
+	if store.Apply(&Roster{Stamp: RosterStamp{Term: 2, Sequence: 9}, Since: 1}) {
+		t.Error("changes of term 2 were applied to a roster of term 1")
 	}
 }
 
-func TestWarmUpsEndWithoutNews(t *testing.T) {
+func TestExpectedEndOfWarmUpIsNoChange(t *testing.T) {
 	now := time.Minute
-	board := NewBoard(func() time.Duration { return now })
-	cold := leaf("1", "x:1")
-	cold.ColdFor = 3 * time.Second
-	board.Publish(1, []RosterLeaf{cold})
+	store := NewRosterStore(func() time.Duration { return now })
+	warming := newLeaf("1", "x:1")
+	warming.ColdFor = 3 * time.Second
+	store.Publish(1, []RosterLeaf{warming})
 	now += 2 * time.Second
-	cold.ColdFor = 900 * time.Millisecond
-	if board.Publish(1, []RosterLeaf{cold}) {
-		t.Error("a warm-up that goes on as expected is news")
+	warming.ColdFor = 900 * time.Millisecond
+	if store.Publish(1, []RosterLeaf{warming}) {
+		t.Error("warm-up that proceeds as expected: got a new stamp, want none")
 	}
-	if got := board.Whole().Leafs[0].ColdFor; got != time.Second {
-		t.Errorf("the leaf is cold for %v more, want 1s", got)
+	if got := store.FullRoster().Leafs[0].ColdFor; got != time.Second {
+		t.Errorf("got remaining warm-up time %v, want 1s", got)
 	}
 	now += 5 * time.Second
-	cold.ColdFor = 3 * time.Second
-	if !board.Publish(1, []RosterLeaf{cold}) {
-		t.Error("a leaf that is cold again is no news")
+	warming.ColdFor = 3 * time.Second
+	if !store.Publish(1, []RosterLeaf{warming}) {
+		t.Error("leaf warms up again: got no new stamp, want one")
 	}
 }
--- a/pkg/owner/ownership.go
+++ b/pkg/owner/ownership.go
@@ -45,7 +45,7 @@
 }
 
 func (o *Owner) row(record coordinator.LeafRecord) tabulator.Row {
-	row, _ := o.view.TakesWork(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
+	row, _ := o.view.AcceptsRequests(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
 	return row
 }
 
@@ -96,7 +96,7 @@
 	if !o.config.LeaseHeld(o.config.Now()) {
 		return errors.New(fellow.ReasonNoLease)
 	}
-	_, takes := o.view.TakesWork(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
+	_, takes := o.view.AcceptsRequests(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
 	current, listed := o.roster[record.ID]
 	if !takes || !listed || current.IsDraining {
 		return errors.New(fellow.ReasonTakenOut)
--- a/pkg/runner/instance.go
+++ b/pkg/runner/instance.go
@@ -72,7 +72,7 @@
 		client      *controller.Client
 		control     *controller.Server
 		journal     *journaler.Journaler
-		platform    *lister.Client
+		platform    *lister.Poller
 		fellows     *linker.Server
 		callers     *caller.Server
 		operators   *operator.Server
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -50,7 +50,7 @@
 }
 
 func (i *Instance) newLinker(files *certificates) *linker.Linker {
-	options := []linker.Option{linker.WithFaults(func(peer string, err error) {
+	options := []linker.Option{linker.WithRejectionHandler(func(peer string, err error) {
 		i.timeline.Add("connection-refused", peer, err.Error())
 		i.options.log.Info("linker: a connection was refused", "peer", peer, "error", err.Error())
 	})}
--- a/pkg/steward/control.go
+++ b/pkg/steward/control.go
@@ -58,7 +58,7 @@
 		journal  *journaler.Journaler
 		server   *controller.Server
 		links    *linker.Server
-		board    *lister.Board
+		board    *lister.RosterStore
 		list     List
 		stop     chan struct{}
 		ended    chan error
@@ -76,7 +76,7 @@
 		linker: linker.New(linker.NewSecret(settings.Cluster, nil)),
 	}
 	c.seeds.Store(&settings)
-	c.board = lister.NewBoard(c.now)
+	c.board = lister.NewRosterStore(c.now)
 	saved, err := c.openFolder()
 	if err != nil {
 		return nil, err
--- a/pkg/steward/entry.go
+++ b/pkg/steward/entry.go
@@ -63,7 +63,7 @@
 	secret := linker.NewSecret(settings.Cluster, nil)
 	var err error
 	if e.gossip, err = gossiper.New(gossiper.Config{
-		Listen: settings.linkAddress(settings.Host), Secret: secret, Now: e.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: log, Stale: e.stale,
+		Listen: settings.linkAddress(settings.Host), Secret: secret, Now: e.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: log, MayBeStale: e.stale,
 		OnObservations: func(observations []spreader.Observation) { e.gate.ApplyObservations(observations) },
 	}); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 		Decode: func(version uint64, packed []byte) (*router.Table, error) {
 			return decodePacked(decode, version, packed)
 		},
-		Dial: dial, Now: e.now, Random: rand.New(rand.NewPCG(seed, 1)), Log: log, PublishObservation: e.gossip.Tell,
+		Dial: dial, Now: e.now, Random: rand.New(rand.NewPCG(seed, 1)), Log: log, PublishObservation: e.gossip.Publish,
 		Peers: e.peers, MayBeStale: e.stale,
 	})
 	e.client = controller.NewClient(controller.ClientConfig{
--- a/pkg/tabulator/command.go
+++ b/pkg/tabulator/command.go
@@ -1,6 +1,5 @@
-// Commands are what the replicated log holds. A command travels as one
-// Envelope in which exactly one field is set, so that decoding needs no
-// registry of types.
+// Commands are the entries of the replicated log. A command is encoded as an
+// Envelope with exactly one field set, so that decoding needs no type registry.
 
 package tabulator
 
@@ -10,43 +9,43 @@
 )
 
 const (
-	// VerdictAccepted says that the change is in the log of a majority.
+	// VerdictAccepted means that the change has been committed to the log of a majority.
 	VerdictAccepted Verdict = "accepted"
-	// VerdictConflict says that another change came first.
+	// VerdictConflict means that the state has changed since the one that the command is based on.
 	VerdictConflict Verdict = "conflict"
-	// VerdictInvalid says that a cell of the change cannot be held.
+	// VerdictInvalid means that the change failed validation.
 	VerdictInvalid Verdict = "invalid"
 )
 
 const (
 	// RemovedExpired marks a member whose lease has run out.
 	RemovedExpired RemovalReason = "expired"
-	// RemovedLeft marks a member that handed over its leafs and left.
+	// RemovedLeft marks a member that handed over its leafs and shut down.
 	RemovedLeft RemovalReason = "left"
-	// RemovedReplaced marks a member whose instance started again.
+	// RemovedReplaced marks a member whose instance restarted with a higher incarnation.
 	RemovedReplaced RemovalReason = "replaced"
 )
 
 type (
-	// Verdict is the outcome of a change as a typed word.
+	// Verdict is the outcome of a command.
 	Verdict string
 
-	// RemovalReason says why a member was removed.
+	// RemovalReason is the reason for which a member was removed.
 	RemovalReason string
 
-	// Command is one entry of the replicated log.
+	// Command is an entry of the replicated log.
 	Command interface {
 		isCommand()
 	}
 
-	// ChangeRows replaces rows, each of which rests on the revision in its Revision field (0 for a new row).
+	// ChangeRows replaces rows; the Revision field of each row holds the revision that the edit is based on, or 0 for a new row.
 	ChangeRows struct {
 		ChangeID string      `json:"change-id"`
 		Operator string      `json:"operator"`
 		Rows     []RowFields `json:"rows"`
 	}
 
-	// SetDataCentre takes a data centre out of service or back in, resting on the revision in Base unless it is unconditional.
+	// SetDataCentre puts a data centre in or out of service, provided that its revision equals Base or Unconditional is set.
 	SetDataCentre struct {
 		ChangeID      string `json:"change-id"`
 		Operator      string `json:"operator"`
@@ -56,24 +55,24 @@
 		Unconditional bool   `json:"unconditional,omitempty"`
 	}
 
-	// PutDocument replaces the routing document where its version is higher than the one held.
+	// PutDocument replaces the routing document if Version is higher than the current version.
 	PutDocument struct {
 		Version uint64
 		Body    []byte
 	}
 
-	// Join registers an entry instance, or moves it to another control instance.
+	// Join registers an entry instance, or records that another control instance now serves its lease.
 	Join struct {
 		Member MemberFields
 	}
 
-	// Drain marks a member that keeps running but owns no leafs.
+	// Drain marks a member as draining: it keeps running but is assigned no leafs.
 	Drain struct {
 		Instance    string
 		Incarnation uint64
 	}
 
-	// Remove takes a member out; Via names the control instance that served its lease, or is empty where that does not matter.
+	// Remove removes a member, only while control instance Via serves its lease if Via is not empty.
 	Remove struct {
 		Instance    string
 		Incarnation uint64
@@ -91,7 +90,8 @@
 		PutDocument   *PutDocument
 	}
 
-	// Conflict tells what stood in the way of a change.
+	// Conflict describes an item whose current revision differs from the base revision of a refused change; Now is its current
+	// value, and Operator and ChangeID identify the change that set it.
 	Conflict struct {
 		Item     string `json:"item"`
 		Base     uint64 `json:"base"`
@@ -118,7 +118,7 @@
 func (Remove) isCommand()        {}
 func (PutDocument) isCommand()   {}
 
-// Encode returns the log form of a command.
+// Encode returns the encoding of a command in the log.
 func Encode(command Command) ([]byte, error) {
 	var envelope Envelope
 	switch c := command.(type) {
@@ -139,7 +139,7 @@
 	return data, errors.Wrap(err, "encode command")
 }
 
-// Decode returns the command held by data, or an error when data is not one.
+// Decode returns the command encoded in data, or an error if data is malformed.
 func Decode(data []byte) (Command, error) {
 	var envelope Envelope
 	if err := msgpack.Unmarshal(data, &envelope); err != nil {
--- a/pkg/tabulator/doc.go
+++ b/pkg/tabulator/doc.go
@@ -1,2 +1,3 @@
-// Package tabulator is the replicated state machine: the table of weights and limits, the data centre states and the membership.
+// Package tabulator applies the replicated log to the table of weights and limits, the data centre states, the routing
+// document and the membership, and derives the views that entry instances act on.
 package tabulator
--- a/pkg/tabulator/document.go
+++ b/pkg/tabulator/document.go
@@ -1,5 +1,6 @@
-// The routing document is what operators send whole: its version decides, and
-// its body is kept as it was sent, so that it can be read back unchanged.
+// Operators replace the routing document as a whole. The highest version is in
+// force, and the body is stored byte for byte so that it can be read back
+// unchanged.
 
 package tabulator
 
@@ -9,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Document is one version of the routing document; version 0 means that there is none.
+// Document is a version of the routing document; version 0 means that there is none.
 type Document struct {
 	Version  uint64
 	Revision uint64
@@ -17,25 +18,25 @@
 }
 
 // Document returns the routing document in force.
-func (m *Machine) Document() Document { return m.body.Document }
+func (m *Machine) Document() Document { return m.state.Document }
 
 // Document returns the routing document in force.
 func (v *View) Document() Document { return v.document }
 
-// putDocument accepts an older version as well and leaves the newer one in force, so that a change sent twice is accepted twice.
+// putDocument accepts the current or an older version without applying it, so that a retried change is accepted too.
 func (m *Machine) putDocument(c PutDocument) Result {
-	if c.Version <= m.body.Document.Version {
-		return Result{Verdict: VerdictAccepted, Revision: m.body.Revision, Repeated: true}
+	if c.Version <= m.state.Document.Version {
+		return Result{Verdict: VerdictAccepted, Revision: m.state.Revision, Repeated: true}
 	}
-	revision := m.advanceTable()
-	m.checksum ^= hashDocument(m.body.Document)
-	m.body.Document = Document{Version: c.Version, Revision: revision, Body: c.Body}
-	m.checksum ^= hashDocument(m.body.Document)
-	m.record("", "", VerdictAccepted, fmt.Sprintf("routing document %d", c.Version))
+	revision := m.advanceTableRevision()
+	m.checksum ^= hashDocument(m.state.Document)
+	m.state.Document = Document{Version: c.Version, Revision: revision, Body: c.Body}
+	m.checksum ^= hashDocument(m.state.Document)
+	m.appendHistory("", "", VerdictAccepted, fmt.Sprintf("routing document %d", c.Version))
 	return Result{Verdict: VerdictAccepted, Revision: revision}
 }
 
-// forceDataCentre sets the state of a data centre whatever it was; the same state again changes nothing.
+// forceDataCentre sets the state of a data centre without checking the base revision. Setting the current state changes nothing.
 func (m *Machine) forceDataCentre(c SetDataCentre) Result {
 	if err := checkState(c.State); err != nil {
 		return Result{Verdict: VerdictInvalid, Faults: []string{err.Error()}}
@@ -43,13 +44,13 @@
 	if err := checkName(c.Name); err != nil {
 		return Result{Verdict: VerdictInvalid, Faults: []string{err.Error()}}
 	}
-	current, known := m.body.DataCentres[c.Name]
+	current, known := m.state.DataCentres[c.Name]
 	if current.State == c.State || !known && c.State == StateIn {
-		return Result{Verdict: VerdictAccepted, Revision: m.body.Revision, Repeated: true}
+		return Result{Verdict: VerdictAccepted, Revision: m.state.Revision, Repeated: true}
 	}
-	revision := m.advanceTable()
+	revision := m.advanceTableRevision()
 	m.putDataCentre(DataCentre{Name: c.Name, State: c.State, Revision: revision})
-	m.record(c.ChangeID, c.Operator, VerdictAccepted, fmt.Sprintf("data centre %s %s", c.Name, c.State))
+	m.appendHistory(c.ChangeID, c.Operator, VerdictAccepted, fmt.Sprintf("data centre %s %s", c.Name, c.State))
 	return Result{Verdict: VerdictAccepted, Revision: revision}
 }
 
--- a/pkg/tabulator/machine.go
+++ b/pkg/tabulator/machine.go
@@ -1,6 +1,6 @@
-// Machine applies commands in log order. Applying is deterministic: it reads
-// neither the clock nor any source of randomness, so every control instance
-// that applied the same log holds the same state.
+// Machine applies commands in log order. It is deterministic: it uses neither
+// the clock nor randomness, so control instances that have applied the same log
+// hold the same state.
 
 package tabulator
 
@@ -26,7 +26,7 @@
 		Revision uint64 `json:"revision"`
 	}
 
-	// HistoryEntry is one accepted or refused change of an operator.
+	// HistoryEntry records an accepted or refused change by an operator.
 	HistoryEntry struct {
 		Revision uint64  `json:"revision"`
 		ChangeID string  `json:"change-id"`
@@ -35,13 +35,14 @@
 		What     string  `json:"what"`
 	}
 
-	// Machine is the state machine behind the replicated log.
+	// Machine is the state machine of the replicated log.
 	Machine struct {
-		body     machineBody
+		state    machineState
 		checksum uint64
 	}
 
-	machineBody struct {
+	// machineState is the content of a snapshot.
+	machineState struct {
 		Revision      uint64
 		TableRevision uint64
 		Epoch         uint64
@@ -63,9 +64,9 @@
 	}
 )
 
-// NewMachine returns the state before the first command.
+// NewMachine returns a state machine to which no command has been applied.
 func NewMachine() *Machine {
-	return &Machine{body: machineBody{
+	return &Machine{state: machineState{
 		Rows:        map[string]RowFields{},
 		DataCentres: map[string]DataCentre{},
 		Members:     map[string]MemberFields{},
@@ -74,67 +75,67 @@
 	}}
 }
 
-// Restore returns the state held by a snapshot, or an error when data is not one.
+// Restore returns the state machine encoded in a snapshot, or an error if data is malformed.
 func Restore(data []byte) (*Machine, error) {
 	machine := NewMachine()
-	if err := msgpack.Unmarshal(data, &machine.body); err != nil {
+	if err := msgpack.Unmarshal(data, &machine.state); err != nil {
 		return nil, errors.Wrap(err, "restore snapshot of the table")
 	}
-	machine.checksum = machine.recount()
+	machine.checksum = machine.computeChecksum()
 	return machine, nil
 }
 
 // Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) {
-	data, err := msgpack.Marshal(&m.body)
+	data, err := msgpack.Marshal(&m.state)
 	return data, errors.Wrap(err, "encode snapshot of the table")
 }
 
-// Revision returns the number of commands that changed the state.
-func (m *Machine) Revision() uint64 { return m.body.Revision }
+// Revision returns the revision of the state, which counts the commands that changed it.
+func (m *Machine) Revision() uint64 { return m.state.Revision }
 
-// TableRevision returns the revision of the last change of a row or data centre.
-func (m *Machine) TableRevision() uint64 { return m.body.TableRevision }
+// TableRevision returns the revision of the last change to a row, a data centre or the routing document.
+func (m *Machine) TableRevision() uint64 { return m.state.TableRevision }
 
-// History returns the changes that operators made, oldest first.
-func (m *Machine) History() []HistoryEntry { return m.body.History }
+// History returns the recorded changes by operators, oldest first.
+func (m *Machine) History() []HistoryEntry { return m.state.History }
 
-// Members returns the members ordered by instance.
+// Members returns the members, sorted by instance.
 func (m *Machine) Members() []MemberFields {
-	members := make([]MemberFields, 0, len(m.body.Members))
-	for _, member := range m.body.Members {
+	members := make([]MemberFields, 0, len(m.state.Members))
+	for _, member := range m.state.Members {
 		members = append(members, member)
 	}
 	sort.Slice(members, func(i, j int) bool { return members[i].Instance < members[j].Instance })
 	return members
 }
 
-// MembersUnordered returns the members in no order, which costs less than Members.
-func (m *Machine) MembersUnordered() map[string]MemberFields { return m.body.Members }
+// MembersUnordered returns the members by instance name without copying or sorting them; the map must not be changed.
+func (m *Machine) MembersUnordered() map[string]MemberFields { return m.state.Members }
 
 // Member returns the member with the given instance name.
 func (m *Machine) Member(instance string) (MemberFields, bool) {
-	member, ok := m.body.Members[instance]
+	member, ok := m.state.Members[instance]
 	return member, ok
 }
 
-// Lookup returns the recorded result of a change id.
+// Lookup returns the recorded result of the change with the given id, marked as repeated.
 func (m *Machine) Lookup(changeID string) (Result, bool) {
-	result, ok := m.body.Results[changeID]
+	result, ok := m.state.Results[changeID]
 	result.Repeated = ok
 	return result, ok
 }
 
-// Apply carries out a command and returns its result.
+// Apply applies a command and returns its result.
 func (m *Machine) Apply(command Command) Result {
 	switch c := command.(type) {
 	case ChangeRows:
-		return m.once(c.ChangeID, func() Result { return m.changeRows(c) })
+		return m.applyOnce(c.ChangeID, func() Result { return m.changeRows(c) })
 	case SetDataCentre:
 		if c.Unconditional {
 			return m.forceDataCentre(c)
 		}
-		return m.once(c.ChangeID, func() Result { return m.setDataCentre(c) })
+		return m.applyOnce(c.ChangeID, func() Result { return m.setDataCentre(c) })
 	case Join:
 		return m.join(c.Member)
 	case Drain:
@@ -147,151 +148,154 @@
 	return Result{Verdict: VerdictInvalid, Faults: []string{"unknown command"}}
 }
 
-func (m *Machine) once(changeID string, apply func() Result) Result {
+// applyOnce makes retries idempotent: a change whose id is still recorded gets the recorded result.
+func (m *Machine) applyOnce(changeID string, apply func() Result) Result {
 	if result, ok := m.Lookup(changeID); ok {
 		return result
 	}
 	result := apply()
-	m.body.Results[changeID] = result
-	m.body.ResultOrder = append(m.body.ResultOrder, changeID)
-	if len(m.body.ResultOrder) > maxResults {
-		delete(m.body.Results, m.body.ResultOrder[0])
-		m.body.ResultOrder = m.body.ResultOrder[1:]
+	m.state.Results[changeID] = result
+	m.state.ResultOrder = append(m.state.ResultOrder, changeID)
+	if len(m.state.ResultOrder) > maxResults {
+		delete(m.state.Results, m.state.ResultOrder[0])
+		m.state.ResultOrder = m.state.ResultOrder[1:]
 	}
 	return result
 }
 
 func (m *Machine) changeRows(c ChangeRows) Result {
 	if faults := checkRows(c.Rows); len(faults) > 0 {
-		return m.refuse(c.ChangeID, c.Operator, Result{Verdict: VerdictInvalid, Faults: faults})
+		return m.reject(c.ChangeID, c.Operator, Result{Verdict: VerdictInvalid, Faults: faults})
 	}
 	var conflicts []Conflict
 	for _, row := range c.Rows {
-		current := m.body.Rows[row.key().String()]
+		current := m.state.Rows[row.key().String()]
 		if current.Revision != row.Revision {
-			conflicts = append(conflicts, m.conflict(row.key().String(), row.Revision, current.Revision, describeRow(current)))
+			conflicts = append(conflicts, m.newConflict(row.key().String(), row.Revision, current.Revision, describeRow(current)))
 		}
 	}
 	if len(conflicts) > 0 {
-		return m.refuse(c.ChangeID, c.Operator, Result{Verdict: VerdictConflict, Conflicts: conflicts})
+		return m.reject(c.ChangeID, c.Operator, Result{Verdict: VerdictConflict, Conflicts: conflicts})
 	}
-	revision := m.advanceTable()
+	revision := m.advanceTableRevision()
 	for _, row := range c.Rows {
 		row.Revision = revision
 		m.putRow(row)
-		m.body.Authors[row.key().String()] = author{Operator: c.Operator, ChangeID: c.ChangeID}
+		m.state.Authors[row.key().String()] = author{Operator: c.Operator, ChangeID: c.ChangeID}
 	}
-	m.record(c.ChangeID, c.Operator, VerdictAccepted, fmt.Sprintf("%d rows", len(c.Rows)))
+	m.appendHistory(c.ChangeID, c.Operator, VerdictAccepted, fmt.Sprintf("%d rows", len(c.Rows)))
 	return Result{Verdict: VerdictAccepted, Revision: revision}
 }
 
 func (m *Machine) setDataCentre(c SetDataCentre) Result {
 	if err := checkState(c.State); err != nil {
-		return m.refuse(c.ChangeID, c.Operator, Result{Verdict: VerdictInvalid, Faults: []string{err.Error()}})
+		return m.reject(c.ChangeID, c.Operator, Result{Verdict: VerdictInvalid, Faults: []string{err.Error()}})
 	}
 	if err := checkName(c.Name); err != nil {
-		return m.refuse(c.ChangeID, c.Operator, Result{Verdict: VerdictInvalid, Faults: []string{err.Error()}})
+		return m.reject(c.ChangeID, c.Operator, Result{Verdict: VerdictInvalid, Faults: []string{err.Error()}})
 	}
-	current := m.body.DataCentres[c.Name]
+	current := m.state.DataCentres[c.Name]
 	if current.Revision != c.Base {
-		conflict := m.conflict(c.Name, c.Base, current.Revision, string(current.State))
-		return m.refuse(c.ChangeID, c.Operator, Result{Verdict: VerdictConflict, Conflicts: []Conflict{conflict}})
+		conflict := m.newConflict(c.Name, c.Base, current.Revision, string(current.State))
+		return m.reject(c.ChangeID, c.Operator, Result{Verdict: VerdictConflict, Conflicts: []Conflict{conflict}})
 	}
-	revision := m.advanceTable()
+	revision := m.advanceTableRevision()
 	m.putDataCentre(DataCentre{Name: c.Name, State: c.State, Revision: revision})
-	m.body.Authors[c.Name] = author{Operator: c.Operator, ChangeID: c.ChangeID}
-	m.record(c.ChangeID, c.Operator, VerdictAccepted, fmt.Sprintf("data centre %s %s", c.Name, c.State))
+	m.state.Authors[c.Name] = author{Operator: c.Operator, ChangeID: c.ChangeID}
+	m.appendHistory(c.ChangeID, c.Operator, VerdictAccepted, fmt.Sprintf("data centre %s %s", c.Name, c.State))
 	return Result{Verdict: VerdictAccepted, Revision: revision}
 }
 
 func (m *Machine) join(member MemberFields) Result {
-	current, ok := m.body.Members[member.Instance]
+	current, ok := m.state.Members[member.Instance]
 	if ok && current.Incarnation > member.Incarnation {
-		return Result{Verdict: VerdictConflict, Revision: m.body.Revision}
+		return Result{Verdict: VerdictConflict, Revision: m.state.Revision}
 	}
 	if ok && current.Incarnation == member.Incarnation && current.Via == member.Via {
-		return Result{Verdict: VerdictAccepted, Revision: m.body.Revision}
+		return Result{Verdict: VerdictAccepted, Revision: m.state.Revision}
 	}
-	m.body.Revision++
-	member.Revision = m.body.Revision
-	member.Joined = m.body.Revision
+	m.state.Revision++
+	member.Revision = m.state.Revision
+	member.Joined = m.state.Revision
 	if ok && current.Incarnation == member.Incarnation {
 		member.Joined = current.Joined
 		member.Draining = current.Draining
 	} else {
-		m.body.Epoch = m.body.Revision
+		m.state.Epoch = m.state.Revision
 	}
 	if ok && current.Incarnation != member.Incarnation {
 		m.addRemoval(current, RemovedReplaced)
 	}
 	m.putMember(member)
-	return Result{Verdict: VerdictAccepted, Revision: m.body.Revision}
+	return Result{Verdict: VerdictAccepted, Revision: m.state.Revision}
 }
 
 func (m *Machine) drain(c Drain) Result {
-	member, ok := m.body.Members[c.Instance]
+	member, ok := m.state.Members[c.Instance]
 	if !ok || member.Incarnation != c.Incarnation || member.Draining {
-		return Result{Verdict: VerdictAccepted, Revision: m.body.Revision}
+		return Result{Verdict: VerdictAccepted, Revision: m.state.Revision}
 	}
-	m.body.Revision++
-	m.body.Epoch = m.body.Revision
+	m.state.Revision++
+	m.state.Epoch = m.state.Revision
 	member.Draining = true
-	member.Revision = m.body.Revision
+	member.Revision = m.state.Revision
 	m.putMember(member)
-	return Result{Verdict: VerdictAccepted, Revision: m.body.Revision}
+	return Result{Verdict: VerdictAccepted, Revision: m.state.Revision}
 }
 
 func (m *Machine) remove(c Remove) Result {
-	member, ok := m.body.Members[c.Instance]
-	moved := c.Via != "" && member.Via != c.Via
-	if !ok || member.Incarnation != c.Incarnation || moved {
-		return Result{Verdict: VerdictConflict, Revision: m.body.Revision}
+	member, ok := m.state.Members[c.Instance]
+	// The control instance that saw the lease expire must not remove a member that renews through another one.
+	hasMoved := c.Via != "" && member.Via != c.Via
+	if !ok || member.Incarnation != c.Incarnation || hasMoved {
+		return Result{Verdict: VerdictConflict, Revision: m.state.Revision}
 	}
-	m.body.Revision++
-	m.body.Epoch = m.body.Revision
+	m.state.Revision++
+	m.state.Epoch = m.state.Revision
 	m.checksum ^= hashMember(member)
-	delete(m.body.Members, c.Instance)
+	delete(m.state.Members, c.Instance)
 	m.addRemoval(member, c.Reason)
-	return Result{Verdict: VerdictAccepted, Revision: m.body.Revision}
+	return Result{Verdict: VerdictAccepted, Revision: m.state.Revision}
 }
 
 func (m *Machine) addRemoval(member MemberFields, reason RemovalReason) {
-	m.body.Removals = append(m.body.Removals, Removal{
+	m.state.Removals = append(m.state.Removals, Removal{
 		Instance:    member.Instance,
 		Incarnation: member.Incarnation,
 		Reason:      reason,
-		Revision:    m.body.Revision,
+		Revision:    m.state.Revision,
 	})
-	if len(m.body.Removals) > maxRemovals {
-		m.body.TrimmedAt = m.body.Removals[0].Revision
-		m.body.Removals = m.body.Removals[1:]
+	if len(m.state.Removals) > maxRemovals {
+		// An incremental delta from before TrimmedAt would miss this removal.
+		m.state.TrimmedAt = m.state.Removals[0].Revision
+		m.state.Removals = m.state.Removals[1:]
 	}
 }
 
-func (m *Machine) advanceTable() uint64 {
-	m.body.Revision++
-	m.body.TableRevision = m.body.Revision
-	return m.body.Revision
+func (m *Machine) advanceTableRevision() uint64 {
+	m.state.Revision++
+	m.state.TableRevision = m.state.Revision
+	return m.state.Revision
 }
 
-func (m *Machine) refuse(changeID, operator string, result Result) Result {
-	result.Revision = m.body.Revision
-	m.record(changeID, operator, result.Verdict, "not applied")
+func (m *Machine) reject(changeID, operator string, result Result) Result {
+	result.Revision = m.state.Revision
+	m.appendHistory(changeID, operator, result.Verdict, "not applied")
 	return result
 }
 
-func (m *Machine) record(changeID, operator string, verdict Verdict, what string) {
-	entry := HistoryEntry{Revision: m.body.Revision, ChangeID: changeID, Operator: operator, Verdict: verdict, What: what}
-	m.body.History = append(m.body.History, entry)
-	if len(m.body.History) > maxHistory {
-		m.body.History = m.body.History[1:]
+func (m *Machine) appendHistory(changeID, operator string, verdict Verdict, what string) {
+	entry := HistoryEntry{Revision: m.state.Revision, ChangeID: changeID, Operator: operator, Verdict: verdict, What: what}
+	m.state.History = append(m.state.History, entry)
+	if len(m.state.History) > maxHistory {
+		m.state.History = m.state.History[1:]
 	}
 }
 
-func (m *Machine) conflict(item string, base, current uint64, now string) Conflict {
-	winner := m.body.Authors[item]
+func (m *Machine) newConflict(item string, base, currentRevision uint64, currentValue string) Conflict {
+	lastAuthor := m.state.Authors[item]
 	return Conflict{
-		Item: item, Base: base, Current: current, Operator: winner.Operator, ChangeID: winner.ChangeID, Now: now,
+		Item: item, Base: base, Current: currentRevision, Operator: lastAuthor.Operator, ChangeID: lastAuthor.ChangeID, Now: currentValue,
 	}
 }
 
--- a/pkg/tabulator/machine_test.go
+++ b/pkg/tabulator/machine_test.go
@@ -15,40 +15,40 @@
 func TestChangeRows(t *testing.T) {
 	first := ChangeRows{ChangeID: "c1", Operator: "a", Rows: []RowFields{validRow("s", "d")}}
 	second := ChangeRows{ChangeID: "c2", Operator: "b", Rows: []RowFields{validRow("s", "d")}}
-	bad := ChangeRows{ChangeID: "c3", Operator: "b", Rows: []RowFields{{Service: "s", DataCentre: "d", Slots: -1, State: "x"}}}
+	invalid := ChangeRows{ChangeID: "c3", Operator: "b", Rows: []RowFields{{Service: "s", DataCentre: "d", Slots: -1, State: "x"}}}
 	tests := []struct {
 		name    string
 		changes []ChangeRows
 		want    []Verdict
 	}{
 		{"accepted", []ChangeRows{first}, []Verdict{VerdictAccepted}},
-		{"race on the same revision", []ChangeRows{first, second}, []Verdict{VerdictAccepted, VerdictConflict}},
-		{"resent", []ChangeRows{first, first}, []Verdict{VerdictAccepted, VerdictAccepted}},
-		{"resent after a conflict", []ChangeRows{first, second, second}, []Verdict{VerdictAccepted, VerdictConflict, VerdictConflict}},
-		{"bad cells", []ChangeRows{bad}, []Verdict{VerdictInvalid}},
+		{"concurrent change of the same revision", []ChangeRows{first, second}, []Verdict{VerdictAccepted, VerdictConflict}},
+		{"retried", []ChangeRows{first, first}, []Verdict{VerdictAccepted, VerdictAccepted}},
+		{"retried after a conflict", []ChangeRows{first, second, second}, []Verdict{VerdictAccepted, VerdictConflict, VerdictConflict}},
+		{"invalid cells", []ChangeRows{invalid}, []Verdict{VerdictInvalid}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			machine := NewMachine()
 			for i, change := range test.changes {
 				if got := machine.Apply(change).Verdict; got != test.want[i] {
-					t.Errorf("change %d: %s, want %s", i, got, test.want[i])
+					t.Errorf("change %d: got verdict %s, want %s", i, got, test.want[i])
 				}
 			}
 		})
 	}
 }
 
-func TestConflictNamesTheWinner(t *testing.T) {
+func TestConflictNamesTheConflictingChange(t *testing.T) {
 	machine := NewMachine()
 	machine.Apply(ChangeRows{ChangeID: "c1", Operator: "bold", Rows: []RowFields{validRow("s", "d")}})
 	result := machine.Apply(ChangeRows{ChangeID: "c2", Operator: "saran", Rows: []RowFields{validRow("s", "d")}})
 	if len(result.Conflicts) != 1 || result.Conflicts[0].Operator != "bold" || result.Conflicts[0].ChangeID != "c1" {
-		t.Fatalf("conflicts %+v do not name bold's change c1", result.Conflicts)
+		t.Fatalf("got conflicts %+v, want one with change c1 of operator bold", result.Conflicts)
 	}
 }
 
-func TestResendAfterSnapshot(t *testing.T) {
+func TestRetriedChangeIsRecognizedAfterRestore(t *testing.T) {
 	machine := NewMachine()
 	change := ChangeRows{ChangeID: "c1", Operator: "a", Rows: []RowFields{validRow("s", "d")}}
 	first := machine.Apply(change)
@@ -60,23 +60,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := restored.Apply(change)
-	if !again.Repeated || again.Revision != first.Revision || restored.Revision() != machine.Revision() {
-		t.Fatalf("resend gave %+v, first answer was %+v", again, first)
+	retried := restored.Apply(change)
+	if !retried.Repeated || retried.Revision != first.Revision || restored.Revision() != machine.Revision() {
+		t.Fatalf("retry: got %+v at revision %d, want repeated %+v at revision %d",
+			retried, restored.Revision(), first, machine.Revision())
 	}
 }
 
-func TestNothingHalfApplied(t *testing.T) {
+func TestChangeWithInvalidCellIsNotApplied(t *testing.T) {
 	machine := NewMachine()
-	good, bad := validRow("s", "d1"), validRow("s", "d2")
-	bad.Slots = 0
-	machine.Apply(ChangeRows{ChangeID: "c1", Rows: []RowFields{good, bad}})
+	valid, invalid := validRow("s", "d1"), validRow("s", "d2")
+	invalid.Slots = 0
+	machine.Apply(ChangeRows{ChangeID: "c1", Rows: []RowFields{valid, invalid}})
 	if machine.Revision() != 0 || len(machine.Delta(0).Rows) != 0 {
-		t.Fatal("a change with a bad cell was applied in part")
+		t.Fatalf("got revision %d with %d rows, want revision 0 without rows", machine.Revision(), len(machine.Delta(0).Rows))
 	}
 }
 
-func TestDeltaFollowsTheMachine(t *testing.T) {
+func TestIncrementalDeltaMatchesFullDelta(t *testing.T) {
 	machine := NewMachine()
 	view := NewView()
 	steps := []Command{
@@ -94,49 +95,50 @@
 		if err != nil {
 			t.Fatalf("step %d: %v", i, err)
 		}
-		whole, err := NewView().Apply(machine.Delta(0))
+		full, err := NewView().Apply(machine.Delta(0))
 		if err != nil {
-			t.Fatalf("step %d: whole view: %v", i, err)
+			t.Fatalf("step %d: full delta: %v", i, err)
 		}
-		if !reflect.DeepEqual(next.Rows(), whole.Rows()) || !reflect.DeepEqual(next.Members(), whole.Members()) {
-			t.Fatalf("step %d: the delta and the whole view differ", i)
+		if !reflect.DeepEqual(next.Rows(), full.Rows()) || !reflect.DeepEqual(next.Members(), full.Members()) {
+			t.Fatalf("step %d: got rows %+v and members %+v, want %+v and %+v",
+				i, next.Rows(), next.Members(), full.Rows(), full.Members())
 		}
 		view = next
 	}
 }
 
-func TestViewNeverGoesBack(t *testing.T) {
+func TestViewRejectsOlderRevision(t *testing.T) {
 	machine := NewMachine()
 	machine.Apply(SetDataCentre{ChangeID: "c1", Name: "d", State: StateOut})
-	old := machine.Delta(0)
+	outdated := machine.Delta(0)
 	machine.Apply(SetDataCentre{ChangeID: "c2", Name: "d2", State: StateOut})
 	view, err := NewView().Apply(machine.Delta(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, from := range []*View{view, view.AskWhole()} {
-		if _, err := from.Apply(old); err == nil {
-			t.Error("an older view was taken over")
+	for _, current := range []*View{view, view.ForResync()} {
+		if _, err := current.Apply(outdated); err == nil {
+			t.Errorf("view at revision %d: applied a delta to revision %d, want an error", current.Revision(), outdated.To)
 		}
 	}
 }
 
-func TestWrongDeltaIsNoticed(t *testing.T) {
+func TestDeltaWithWrongChecksumIsRejected(t *testing.T) {
 	machine := NewMachine()
 	machine.Apply(ChangeRows{ChangeID: "c1", Rows: []RowFields{validRow("s", "d")}})
 	delta := machine.Delta(0)
 	delta.Rows[0].Slots = 9
 	if _, err := NewView().Apply(delta); err == nil {
-		t.Fatal("a delta with a changed cell was taken over")
+		t.Fatal("applied a delta with a modified cell, want a checksum error")
 	}
 }
 
-func TestRemoveDependsOnTheServingInstance(t *testing.T) {
+func TestRemoveByFormerControlInstanceIsRejected(t *testing.T) {
 	machine := NewMachine()
 	machine.Apply(Join{Member: MemberFields{Instance: "e1", Incarnation: 1, Via: "c1"}})
 	machine.Apply(Join{Member: MemberFields{Instance: "e1", Incarnation: 1, Via: "c2"}})
 	machine.Apply(Remove{Instance: "e1", Incarnation: 1, Via: "c1", Reason: RemovedExpired})
 	if _, ok := machine.Member("e1"); !ok {
-		t.Fatal("a member that moved to another control instance was removed by the former one")
+		t.Fatal("member e1 was removed through control instance c1, want it kept because c2 serves its lease")
 	}
 }
--- a/pkg/tabulator/member.go
+++ b/pkg/tabulator/member.go
@@ -1,17 +1,15 @@
-// A member is an entry instance that holds, or held, a lease.
-
 package tabulator
 
 import "fmt"
 
 type (
-	// MemberID names one run of an instance.
+	// MemberID identifies a run of an instance; the incarnation increases with each start.
 	MemberID struct {
 		Instance    string
 		Incarnation uint64
 	}
 
-	// MemberFields is the wire form of a member.
+	// MemberFields is the serialized form of a member; Via names the control instance that serves its lease.
 	MemberFields struct {
 		Instance        string `json:"instance"`
 		Incarnation     uint64 `json:"incarnation"`
@@ -24,12 +22,12 @@
 		Revision        uint64 `json:"revision"`
 	}
 
-	// Member is an entry instance in the membership.
+	// Member is an entry instance that holds a lease, or held one, and has not been removed.
 	Member struct {
 		fields MemberFields
 	}
 
-	// Removal records a member that was taken out.
+	// Removal records the removal of a member at a revision.
 	Removal struct {
 		Instance    string        `json:"instance"`
 		Incarnation uint64        `json:"incarnation"`
@@ -41,7 +39,7 @@
 // NewMember returns the member with the given fields.
 func NewMember(fields MemberFields) Member { return Member{fields: fields} }
 
-// Fields returns the wire form of the member.
+// Fields returns the serialized form of the member.
 func (m Member) Fields() MemberFields { return m.fields }
 
 // ID returns the instance and incarnation of the member.
@@ -55,19 +53,19 @@
 // DataCentre returns the data centre of the instance.
 func (m Member) DataCentre() string { return m.fields.DataCentre }
 
-// FellowAddress returns the address for calls between instances.
+// FellowAddress returns the address at which the instance accepts calls from other instances.
 func (m Member) FellowAddress() string { return m.fields.FellowAddress }
 
 // OperatorAddress returns the address of the administration API.
 func (m Member) OperatorAddress() string { return m.fields.OperatorAddress }
 
-// Draining tells whether the member is giving up its leafs.
-func (m Member) Draining() bool { return m.fields.Draining }
+// IsDraining reports whether the member is draining and must be assigned no leafs.
+func (m Member) IsDraining() bool { return m.fields.Draining }
 
 // Joined returns the revision at which this incarnation joined.
 func (m Member) Joined() uint64 { return m.fields.Joined }
 
-// String returns the identifier as instance#incarnation.
+// String returns the identifier as instance#incarnation, with the incarnation in hexadecimal.
 func (id MemberID) String() string {
 	return fmt.Sprintf("%s#%x", id.Instance, id.Incarnation)
 }
--- a/pkg/tabulator/row.go
+++ b/pkg/tabulator/row.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// StateIn marks a row or a data centre that takes new work.
+	// StateIn marks a row or a data centre as in service: it accepts new requests.
 	StateIn State = "in"
-	// StateOut marks a row or a data centre that takes no new work.
+	// StateOut marks a row or a data centre as out of service: it accepts no new requests.
 	StateOut State = "out"
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 type (
-	// State tells whether a row or a data centre takes new work.
+	// State is the service state of a row or a data centre.
 	State string
 
-	// Key names a row by its service and data centre.
+	// Key identifies a row by its service and data centre.
 	Key struct {
 		Service    string `json:"service"`
 		DataCentre string `json:"data-centre"`
 	}
 
-	// RowFields is the wire form of a row.
+	// RowFields is the serialized form of a row, which may be invalid.
 	RowFields struct {
 		Service      string  `json:"service"`
 		DataCentre   string  `json:"data-centre"`
@@ -53,12 +53,12 @@
 		Revision     uint64  `json:"revision"`
 	}
 
-	// Row is a checked row of the table.
+	// Row is a validated row of the table.
 	Row struct {
 		fields RowFields
 	}
 
-	// CellError reports a cell that a row cannot hold.
+	// CellError reports an invalid value in one column of a row.
 	CellError struct {
 		key    Key
 		column string
@@ -66,42 +66,42 @@
 	}
 )
 
-// NewRow checks fields and returns the row, or a *CellError for each bad cell.
+// NewRow validates fields and returns the row, or a *CellError for each invalid cell.
 func NewRow(fields RowFields) (Row, []*CellError) {
-	faults := checkFields(fields)
-	if len(faults) > 0 {
-		return Row{}, faults
+	cellErrors := checkFields(fields)
+	if len(cellErrors) > 0 {
+		return Row{}, cellErrors
 	}
 	return Row{fields: fields}, nil
 }
 
-// Fields returns the wire form of the row.
+// Fields returns the serialized form of the row.
 func (r Row) Fields() RowFields { return r.fields }
 
 // Key returns the service and data centre of the row.
 func (r Row) Key() Key { return r.fields.key() }
 
-// Weight returns the share of work for this data centre, relative to the other rows of the service.
+// Weight returns the weight of the data centre relative to the other rows of the service; 0 means no requests.
 func (r Row) Weight() int { return r.fields.Weight }
 
-// Slots returns how many requests one leaf runs at a time.
+// Slots returns the maximum number of requests that a leaf runs concurrently.
 func (r Row) Slots() int { return r.fields.Slots }
 
-// Connections returns how many connections one leaf accepts.
+// Connections returns the maximum number of connections that a leaf accepts.
 func (r Row) Connections() int { return r.fields.Connections }
 
-// Deadline returns the longest time a query may take.
+// Deadline returns the maximum duration of a query.
 func (r Row) Deadline() time.Duration {
 	return time.Duration(r.fields.DeadlineMs) * time.Millisecond
 }
 
-// MinCoverage returns the share of shards, 0 to 1, at which an answer may be given early.
+// MinCoverage returns the minimum fraction of shards, from 0 to 1, with which a partial result may be returned early.
 func (r Row) MinCoverage() float64 { return r.fields.MinCoverage }
 
-// HedgePercent returns the extra requests allowed per hundred needed ones.
+// HedgePercent returns the maximum number of extra requests per 100 required requests.
 func (r Row) HedgePercent() float64 { return r.fields.HedgePercent }
 
-// State tells whether the row takes new work.
+// State returns the service state of the row.
 func (r Row) State() State { return r.fields.State }
 
 // Revision returns the revision of the table at which the row last changed.
@@ -110,10 +110,10 @@
 // String returns the key as service/data-centre.
 func (k Key) String() string { return k.Service + "/" + k.DataCentre }
 
-// Column returns the kebab-case name of the column.
+// Column returns the kebab-case name of the column with the invalid value.
 func (e *CellError) Column() string { return e.column }
 
-// Key returns the row of the cell.
+// Key returns the key of the row with the invalid value.
 func (e *CellError) Key() Key { return e.key }
 
 func (e *CellError) Error() string {
@@ -125,10 +125,10 @@
 }
 
 func checkFields(f RowFields) []*CellError {
-	var faults []*CellError
+	var cellErrors []*CellError
 	check := func(column string, err error) {
 		if err != nil {
-			faults = append(faults, &CellError{key: f.key(), column: column, reason: err.Error()})
+			cellErrors = append(cellErrors, &CellError{key: f.key(), column: column, reason: err.Error()})
 		}
 	}
 	check("service", checkName(f.Service))
@@ -140,7 +140,7 @@
 	check("min-coverage", checkRange(f.MinCoverage, 0, 1))
 	check("hedge-percent", checkRange(f.HedgePercent, 0, 100))
 	check("state", checkState(f.State))
-	return faults
+	return cellErrors
 }
 
 func checkName(name string) error {
@@ -150,11 +150,12 @@
 	return errors.Errorf("%q is not a kebab-case name of at most 63 characters", name)
 }
 
-func checkRange(value, lowest, highest float64) error {
-	if value >= lowest && value <= highest {
+func checkRange(value, minimum, maximum float64) error {
+	// NaN fails both comparisons.
+	if value >= minimum && value <= maximum {
 		return nil
 	}
-	return errors.Errorf("%g is not between %g and %g", value, lowest, highest)
+	return errors.Errorf("%g is not between %g and %g", value, minimum, maximum)
 }
 
 func checkState(state State) error {
--- a/pkg/tabulator/view.go
+++ b/pkg/tabulator/view.go
@@ -1,6 +1,6 @@
-// A view is what an entry instance acts on: rows, data centres and members.
-// Control instances send it as a delta from the revision the entry instance
-// holds. The checksum covers the whole view, so a wrong delta is noticed.
+// Entry instances act on a View. Control instances send the changes since the
+// revision of that view as a Delta. Its checksum covers the resulting view, so
+// that an incorrect delta is detected.
 
 package tabulator
 
@@ -13,7 +13,7 @@
 )
 
 type (
-	// Delta carries a view from one revision to another; it is whole when From is 0.
+	// Delta holds the changes from one revision to another, or the full state if From is 0.
 	Delta struct {
 		From          uint64
 		To            uint64
@@ -27,7 +27,7 @@
 		Checksum      uint64
 	}
 
-	// View is an unchanging picture of the table and membership.
+	// View is an immutable snapshot of the table and the membership.
 	View struct {
 		revision      uint64
 		tableRevision uint64
@@ -37,63 +37,65 @@
 		members       map[string]Member
 		document      Document
 		checksum      uint64
-		floor         uint64
+		minRevision   uint64 // lowest revision that Apply accepts
 	}
 )
 
-// NewView returns the view that holds nothing.
+// NewView returns an empty view at revision 0.
 func NewView() *View {
 	return &View{rows: map[Key]Row{}, dataCentres: map[string]DataCentre{}, members: map[string]Member{}}
 }
 
-// Delta returns the changes after revision since, or the whole view where the changes are no longer known.
+// Delta returns the changes after revision since, or the full state if since is not a known revision or removals after it are
+// no longer recorded.
 func (m *Machine) Delta(since uint64) Delta {
 	delta := Delta{
-		From: since, To: m.body.Revision, TableRevision: m.body.TableRevision, Epoch: m.body.Epoch, Checksum: m.checksum,
+		From: since, To: m.state.Revision, TableRevision: m.state.TableRevision, Epoch: m.state.Epoch, Checksum: m.checksum,
 	}
-	if since < m.body.TrimmedAt || since > m.body.Revision {
+	if since < m.state.TrimmedAt || since > m.state.Revision {
 		delta.From = 0
 	}
 	if delta.From == delta.To {
 		return delta
 	}
-	for _, row := range m.body.Rows {
+	for _, row := range m.state.Rows {
 		if row.Revision > delta.From {
 			delta.Rows = append(delta.Rows, row)
 		}
 	}
-	for _, centre := range m.body.DataCentres {
+	for _, centre := range m.state.DataCentres {
 		if centre.Revision > delta.From {
 			delta.DataCentres = append(delta.DataCentres, centre)
 		}
 	}
-	if document := m.body.Document; document.Revision > delta.From {
+	if document := m.state.Document; document.Revision > delta.From {
 		delta.Document = &document
 	}
-	for _, member := range m.body.Members {
+	for _, member := range m.state.Members {
 		if member.Revision > delta.From {
 			delta.Members = append(delta.Members, member)
 		}
 	}
 	if delta.From > 0 {
-		first := sort.Search(len(m.body.Removals), func(i int) bool { return m.body.Removals[i].Revision > delta.From })
-		delta.Removals = append(delta.Removals, m.body.Removals[first:]...)
+		first := sort.Search(len(m.state.Removals), func(i int) bool { return m.state.Removals[i].Revision > delta.From })
+		delta.Removals = append(delta.Removals, m.state.Removals[first:]...)
 	}
 	return delta
 }
 
-// Apply returns the view after a delta, or an error when the delta does not fit or its checksum does not match.
+// Apply returns the view that results from a delta, or an error if the delta has another base revision, is outdated or does not
+// match its checksum.
 func (v *View) Apply(delta Delta) (*View, error) {
 	if delta.From != 0 && delta.From != v.revision {
 		return nil, errors.Errorf("apply delta: it starts at revision %d, the view is at %d", delta.From, v.revision)
 	}
-	if newest := max(v.revision, v.floor); delta.To < newest {
-		return nil, errors.Errorf("apply delta: revision %d is older than %d", delta.To, newest)
+	if minRevision := max(v.revision, v.minRevision); delta.To < minRevision {
+		return nil, errors.Errorf("apply delta: revision %d is older than %d", delta.To, minRevision)
 	}
 	if delta.From == delta.To && delta.To == v.revision {
 		return v, nil
 	}
-	next := v.copyFor(delta)
+	next := v.baseFor(delta)
 	next.applyRemovals(delta.Removals)
 	for _, fields := range delta.Rows {
 		next.putRow(fields)
@@ -113,21 +115,21 @@
 	return next, nil
 }
 
-// AskWhole returns the same view at revision 0, so that the next delta is whole.
-func (v *View) AskWhole() *View {
-	whole := *v
-	whole.floor = max(v.floor, v.revision)
-	whole.revision = 0
-	return &whole
+// ForResync returns a copy of the view with revision 0, so that the next delta is a full one; older revisions stay refused.
+func (v *View) ForResync() *View {
+	unsynced := *v
+	unsynced.minRevision = max(v.minRevision, v.revision)
+	unsynced.revision = 0
+	return &unsynced
 }
 
-// Revision returns the revision of the view.
+// Revision returns the revision of the view, or 0 if the next delta must be a full one.
 func (v *View) Revision() uint64 { return v.revision }
 
-// TableRevision returns the revision of the last change of a row or data centre.
+// TableRevision returns the revision of the last change to a row, a data centre or the routing document.
 func (v *View) TableRevision() uint64 { return v.tableRevision }
 
-// Epoch returns the revision of the last change of the membership.
+// Epoch returns the revision at which a member last joined, started draining or was removed.
 func (v *View) Epoch() uint64 { return v.epoch }
 
 // Row returns the row of a service in a data centre.
@@ -136,7 +138,7 @@
 	return row, ok
 }
 
-// Rows returns all rows ordered by service and data centre.
+// Rows returns all rows, sorted by service and data centre.
 func (v *View) Rows() []Row {
 	rows := make([]Row, 0, len(v.rows))
 	for _, row := range v.rows {
@@ -146,7 +148,7 @@
 	return rows
 }
 
-// DataCentre returns the state of a data centre, which is in where no operator ever changed it.
+// DataCentre returns the state of a data centre, which is StateIn by default.
 func (v *View) DataCentre(name string) DataCentre {
 	if centre, ok := v.dataCentres[name]; ok {
 		return centre
@@ -154,7 +156,7 @@
 	return DataCentre{Name: name, State: StateIn}
 }
 
-// DataCentres returns the data centres that rows, members or changes name, ordered by name.
+// DataCentres returns the data centres that occur in rows, members or state changes, sorted by name.
 func (v *View) DataCentres() []DataCentre {
 	names := map[string]bool{}
 	for name := range v.dataCentres {
@@ -174,8 +176,8 @@
 	return centres
 }
 
-// TakesWork tells whether the row of a service in a data centre takes new work, and returns the row.
-func (v *View) TakesWork(key Key) (Row, bool) {
+// AcceptsRequests returns the row with the given key and reports whether it and its data centre accept new requests.
+func (v *View) AcceptsRequests(key Key) (Row, bool) {
 	row, ok := v.rows[key]
 	if !ok || row.State() != StateIn || row.Weight() == 0 {
 		return row, false
@@ -189,7 +191,7 @@
 	return member, ok
 }
 
-// Members returns the members ordered by instance.
+// Members returns the members, sorted by instance.
 func (v *View) Members() []Member {
 	members := make([]Member, 0, len(v.members))
 	for _, member := range v.members {
@@ -199,7 +201,8 @@
 	return members
 }
 
-func (v *View) copyFor(delta Delta) *View {
+// baseFor returns a copy of the view for an incremental delta, or an empty view for a full one.
+func (v *View) baseFor(delta Delta) *View {
 	next := NewView()
 	if delta.From != 0 {
 		next.checksum = v.checksum
@@ -257,41 +260,41 @@
 
 func (m *Machine) putRow(fields RowFields) {
 	key := fields.key().String()
-	if old, ok := m.body.Rows[key]; ok {
+	if old, ok := m.state.Rows[key]; ok {
 		m.checksum ^= hashRow(old)
 	}
 	m.checksum ^= hashRow(fields)
-	m.body.Rows[key] = fields
+	m.state.Rows[key] = fields
 }
 
 func (m *Machine) putDataCentre(centre DataCentre) {
-	if old, ok := m.body.DataCentres[centre.Name]; ok {
+	if old, ok := m.state.DataCentres[centre.Name]; ok {
 		m.checksum ^= hashDataCentre(old)
 	}
 	m.checksum ^= hashDataCentre(centre)
-	m.body.DataCentres[centre.Name] = centre
+	m.state.DataCentres[centre.Name] = centre
 }
 
 func (m *Machine) putMember(fields MemberFields) {
-	if old, ok := m.body.Members[fields.Instance]; ok {
+	if old, ok := m.state.Members[fields.Instance]; ok {
 		m.checksum ^= hashMember(old)
 	}
 	m.checksum ^= hashMember(fields)
-	m.body.Members[fields.Instance] = fields
+	m.state.Members[fields.Instance] = fields
 }
 
-func (m *Machine) recount() uint64 {
+func (m *Machine) computeChecksum() uint64 {
 	var sum uint64
-	for _, row := range m.body.Rows {
+	for _, row := range m.state.Rows {
 		sum ^= hashRow(row)
 	}
-	for _, centre := range m.body.DataCentres {
+	for _, centre := range m.state.DataCentres {
 		sum ^= hashDataCentre(centre)
 	}
-	for _, member := range m.body.Members {
+	for _, member := range m.state.Members {
 		sum ^= hashMember(member)
 	}
-	sum ^= hashDocument(m.body.Document)
+	sum ^= hashDocument(m.state.Document)
 	return sum
 }
 
