--- a/pkg/controller/circle.go
+++ b/pkg/controller/circle.go
@@ -8,83 +8,83 @@
 	"lovagedeck/pkg/linker"
 )
 
-// circle holds the control instances that a client knows, the one it asks at the moment first.
-type circle struct {
-	linker *linker.Linker
-	mu     sync.Mutex
-	peers  []*peer
-	next   int
+// peerList holds the control instances known to a client and the index of the one in use.
+type peerList struct {
+	linker       *linker.Linker
+	mu           sync.Mutex
+	peers        []*peer
+	currentIndex int
 }
 
-func (c *circle) current() (*peer, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.peers) == 0 {
+func (l *peerList) current() (*peer, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.peers) == 0 {
 		return nil, false
 	}
-	return c.peers[c.next], true
+	return l.peers[l.currentIndex], true
 }
 
-func (c *circle) advance() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.peers) > 0 {
-		c.next = (c.next + 1) % len(c.peers)
+func (l *peerList) advance() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.peers) > 0 {
+		l.currentIndex = (l.currentIndex + 1) % len(l.peers)
 	}
 }
 
-// all returns the instances, beginning with the present one.
-func (c *circle) all() []*peer {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append(append([]*peer(nil), c.peers[c.next:]...), c.peers[:c.next]...)
+// all returns the peers in order, starting with the current one.
+func (l *peerList) all() []*peer {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append(append([]*peer(nil), l.peers[l.currentIndex:]...), l.peers[:l.currentIndex]...)
 }
 
-func (c *circle) shuffle(random *rand.Rand) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	random.Shuffle(len(c.peers), func(i, j int) { c.peers[i], c.peers[j] = c.peers[j], c.peers[i] })
+func (l *peerList) shuffle(random *rand.Rand) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	random.Shuffle(len(l.peers), func(i, j int) { l.peers[i], l.peers[j] = l.peers[j], l.peers[i] })
 }
 
-func (c *circle) add(addresses []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (l *peerList) add(addresses []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, address := range addresses {
-		if c.find(address) < 0 {
-			c.peers = append(c.peers, newPeer(c.linker, address))
+		if l.indexOf(address) < 0 {
+			l.peers = append(l.peers, newPeer(l.linker, address))
 		}
 	}
 }
 
-// replace keeps the lines to instances that stay and closes those to others.
-func (c *circle) replace(addresses []string) {
-	c.add(addresses)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var present *peer
-	if len(c.peers) > 0 {
-		present = c.peers[c.next]
+// setAddresses adds the addresses that are new and closes the connections to peers that are not in addresses.
+func (l *peerList) setAddresses(addresses []string) {
+	l.add(addresses)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var current *peer
+	if len(l.peers) > 0 {
+		current = l.peers[l.currentIndex]
 	}
 	kept := make([]*peer, 0, len(addresses))
-	for _, p := range c.peers {
+	for _, p := range l.peers {
 		if slices.Contains(addresses, p.address()) {
 			kept = append(kept, p)
 			continue
 		}
 		p.close()
 	}
-	c.peers = kept
-	c.next = max(0, slices.Index(kept, present))
+	l.peers = kept
+	l.currentIndex = max(0, slices.Index(kept, current))
 }
 
-func (c *circle) find(address string) int {
-	return slices.IndexFunc(c.peers, func(p *peer) bool { return p.address() == address })
+func (l *peerList) indexOf(address string) int {
+	return slices.IndexFunc(l.peers, func(p *peer) bool { return p.address() == address })
 }
 
-func (c *circle) close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, p := range c.peers {
+func (l *peerList) close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, p := range l.peers {
 		p.close()
 	}
 }
--- a/pkg/controller/client.go
+++ b/pkg/controller/client.go
@@ -1,7 +1,3 @@
-// Client holds the lease of an entry instance. The view of a renewal is in
-// force at the instance before the lease is extended, so an instance never
-// acts under a lease on a table older than that lease.
-
 package controller
 
 import (
@@ -23,97 +19,103 @@
 )
 
 const (
-	renewInterval = 300 * time.Millisecond
-	renewTimeout  = 600 * time.Millisecond
-	retryInterval = 50 * time.Millisecond
-	// firstRenewal is the pause between renewals until the instance has a list of leafs, without which it serves nobody.
-	firstRenewal = 40 * time.Millisecond
-	proposeWait  = 3 * time.Second
+	// defaultRenewalInterval applies until a renewal reply sets another interval.
+	defaultRenewalInterval = 300 * time.Millisecond
+	renewalTimeout         = 600 * time.Millisecond
+	retryInterval          = 50 * time.Millisecond
+	// initialRenewalInterval applies until the instance has a leaf roster, without which it cannot serve requests.
+	initialRenewalInterval = 40 * time.Millisecond
+	operatorCallTimeout    = 3 * time.Second
 )
 
 type (
-	// ClientConfig is what a Client needs of its instance.
+	// ClientConfig configures a Client.
 	ClientConfig struct {
-		Member    tabulator.MemberFields
+		// Member is the registration of the entry instance.
+		Member tabulator.MemberFields
+		// Addresses are the initial addresses of control instances.
 		Addresses []string
 		Linker    *linker.Linker
-		Now       func() time.Duration
-		Random    *rand.Rand
-		Timeline  *timeliner.Timeline
-		OnView    func(view *tabulator.View)
-		// OnRoster takes each newer list of leafs that comes with a renewal; nil drops it.
+		// Now returns the time of a monotonic clock.
+		Now      func() time.Duration
+		Random   *rand.Rand
+		Timeline *timeliner.Timeline
+		// OnView receives each new view before the lease is extended.
+		OnView func(view *tabulator.View)
+		// OnRoster receives each newer leaf roster from a renewal reply. It may be nil.
 		OnRoster func(roster lister.Roster)
-		// OnLease is told when the lease is lost or held again; nil is not told.
-		OnLease func(held bool)
-		// Requests tells how many requests the instance had in the last window; nil counts none.
-		Requests func() int
-		// OnRequests takes how many requests all instances had in it; nil drops that.
-		OnRequests func(all int)
+		// OnLeaseChange is called when the lease is acquired or lost. It may be nil.
+		OnLeaseChange func(isHeld bool)
+		// CountRequests returns the number of requests of this instance in the last window. If nil, 0 is reported.
+		CountRequests func() int
+		// OnTotalRequests receives the number of requests of all entry instances in the last window. It may be nil.
+		OnTotalRequests func(total int)
 	}
 
-	// Client renews the lease and passes on the commands of operators.
+	// Client renews the lease of an entry instance and forwards operator commands to the control instances. A view is passed
+	// to OnView before the lease is extended, so an instance never holds a lease while acting on a table older than the lease.
 	Client struct {
-		config   ClientConfig
-		circle   circle
-		board    *lister.RosterStore
-		renewal  time.Duration
-		mu       sync.Mutex
-		view     *tabulator.View
-		lease    assigner.Lease
-		until    atomic.Int64
-		held     bool
-		stop     chan struct{}
-		stopping sync.Once
-		group    conc.WaitGroup
+		config          ClientConfig
+		peers           peerList
+		board           *lister.RosterStore
+		renewalInterval time.Duration
+		mu              sync.Mutex
+		view            *tabulator.View
+		lease           assigner.Lease
+		leaseEnd        atomic.Int64
+		wasLeaseHeld    bool
+		stop            chan struct{}
+		stopOnce        sync.Once
+		group           conc.WaitGroup
 	}
 )
 
-// NewClient returns a client without a lease; Run starts the renewals.
+// NewClient returns a client without a lease. Run starts the renewals.
 func NewClient(config ClientConfig) *Client {
-	client := &Client{config: config, view: tabulator.NewView(), renewal: renewInterval, board: lister.NewRosterStore(config.Now), stop: make(chan struct{})}
-	client.circle.linker = config.Linker
-	client.circle.replace(config.Addresses)
-	client.circle.shuffle(config.Random)
+	client := &Client{config: config, view: tabulator.NewView(), renewalInterval: defaultRenewalInterval, board: lister.NewRosterStore(config.Now), stop: make(chan struct{})}
+	client.peers.linker = config.Linker
+	client.peers.setAddresses(config.Addresses)
+	client.peers.shuffle(config.Random)
 	return client
 }
 
-// Run renews the lease until Close.
-func (c *Client) Run() { c.group.Go(c.loop) }
+// Run starts a goroutine that renews the lease until Close.
+func (c *Client) Run() { c.group.Go(c.renewLoop) }
 
-// Close ends the renewals and leaves the lease to run out.
+// Close stops the renewals and lets the lease expire.
 func (c *Client) Close() {
-	c.stopping.Do(func() { close(c.stop) })
-	c.circle.close()
+	c.stopOnce.Do(func() { close(c.stop) })
+	c.peers.close()
 	c.group.Wait()
 }
 
-// Suggest adds addresses of control instances to those that are asked.
-func (c *Client) Suggest(addresses []string) { c.circle.add(addresses) }
+// AddAddresses adds addresses to the known control instances.
+func (c *Client) AddAddresses(addresses []string) { c.peers.add(addresses) }
 
-// LeaseHeld tells whether the instance may act at now.
-func (c *Client) LeaseHeld(now time.Duration) bool { return int64(now) < c.until.Load() }
+// LeaseHeld reports whether the lease is valid at time now.
+func (c *Client) LeaseHeld(now time.Duration) bool { return int64(now) < c.leaseEnd.Load() }
 
-// ListReadAt returns when the list of leafs that this instance was given was last read by a control instance; false
-// before the first one.
-func (c *Client) ListReadAt() (time.Duration, bool) { return c.board.LastReadAt() }
+// RosterReadAt returns when a control instance last read the current leaf roster, and false before the first roster.
+func (c *Client) RosterReadAt() (time.Duration, bool) { return c.board.LastReadAt() }
 
-// View returns the view that is in force at this instance.
+// View returns the view in use at this instance.
 func (c *Client) View() *tabulator.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view
 }
 
-// Propose passes a command to the control instances.
+// Propose submits a command to the control instances in turn until one answers without a refusal. The reply and the error
+// are those of the last attempt.
 func (c *Client) Propose(command tabulator.Command) (ProposeReply, error) {
 	data, err := tabulator.Encode(command)
 	if err != nil {
 		return ProposeReply{}, err
 	}
 	var reply ProposeReply
-	err = c.anywhere(func(p *peer) error {
+	err = c.callAny(func(p *peer) error {
 		reply = ProposeReply{}
-		if err := p.call("Propose", ProposeQuery{Command: data}, &reply, proposeWait); err != nil {
+		if err := p.call("Propose", ProposeQuery{Command: data}, &reply, operatorCallTimeout); err != nil {
 			reply.Unknown = true
 			return err
 		}
@@ -125,38 +127,38 @@
 	return reply, err
 }
 
-// Lookup returns the recorded outcome of a change.
+// Lookup returns the recorded outcome of a change, or an error if no majority confirmed that the read is fresh.
 func (c *Client) Lookup(changeID string) (LookupReply, error) {
 	var reply LookupReply
-	err := c.anywhere(func(p *peer) error {
+	err := c.callAny(func(p *peer) error {
 		reply = LookupReply{}
-		if err := p.call("Lookup", LookupQuery{ChangeID: changeID}, &reply, proposeWait); err != nil {
+		if err := p.call("Lookup", LookupQuery{ChangeID: changeID}, &reply, operatorCallTimeout); err != nil {
 			return err
 		}
-		return unlessFresh(reply.Fresh)
+		return checkFresh(reply.Fresh)
 	})
 	return reply, err
 }
 
-// History returns the changes of operators, oldest first.
+// History returns the operator changes, oldest first, or an error if no majority confirmed that the read is fresh.
 func (c *Client) History() (HistoryReply, error) {
 	var reply HistoryReply
-	err := c.anywhere(func(p *peer) error {
+	err := c.callAny(func(p *peer) error {
 		reply = HistoryReply{}
-		if err := p.call("History", HistoryQuery{}, &reply, proposeWait); err != nil {
+		if err := p.call("History", HistoryQuery{}, &reply, operatorCallTimeout); err != nil {
 			return err
 		}
-		return unlessFresh(reply.Fresh)
+		return checkFresh(reply.Fresh)
 	})
 	return reply, err
 }
 
-// InForce tells how many entry instances act on a revision.
+// InForce returns how many entry instances act on a view of at least the given revision.
 func (c *Client) InForce(revision uint64) (InForceReply, error) {
 	var reply InForceReply
-	err := c.anywhere(func(p *peer) error {
+	err := c.callAny(func(p *peer) error {
 		reply = InForceReply{}
-		if err := p.call("InForce", InForceQuery{Revision: revision}, &reply, proposeWait); err != nil {
+		if err := p.call("InForce", InForceQuery{Revision: revision}, &reply, operatorCallTimeout); err != nil {
 			return err
 		}
 		if reply.Refused != "" {
@@ -167,25 +169,25 @@
 	return reply, err
 }
 
-// Configure changes the control members by one.
+// Configure adds, promotes or removes one control node.
 func (c *Client) Configure(action ConfigAction, node replicator.NodeID) (ConfigReply, error) {
 	var reply ConfigReply
-	err := c.anywhere(func(p *peer) error {
+	err := c.callAny(func(p *peer) error {
 		reply = ConfigReply{}
-		return p.call("Configure", ConfigQuery{Action: action, Node: node}, &reply, proposeWait)
+		return p.call("Configure", ConfigQuery{Action: action, Node: node}, &reply, operatorCallTimeout)
 	})
 	return reply, err
 }
 
-// Statuses returns the status of each control instance by address; one that does not answer has none.
+// Statuses returns the status of each control instance that answers, keyed by address.
 func (c *Client) Statuses() map[string]StatusReply {
 	statuses := map[string]StatusReply{}
 	var mu sync.Mutex
 	var group conc.WaitGroup
-	for _, p := range c.circle.all() {
+	for _, p := range c.peers.all() {
 		group.Go(func() {
 			var reply StatusReply
-			if err := p.call("Status", StatusQuery{}, &reply, reachTimeout); err != nil {
+			if err := p.call("Status", StatusQuery{}, &reply, peerCallTimeout); err != nil {
 				return
 			}
 			mu.Lock()
@@ -197,148 +199,148 @@
 	return statuses
 }
 
-// Leave tells the control instances that this member handed over its leafs.
+// Leave gives up the lease and removes this member after it has handed over its leafs.
 func (c *Client) Leave() {
 	member := c.config.Member
-	c.stopping.Do(func() { close(c.stop) })
-	c.until.Store(0)
+	c.stopOnce.Do(func() { close(c.stop) })
+	c.leaseEnd.Store(0)
 	_, _ = c.Propose(tabulator.Remove{Instance: member.Instance, Incarnation: member.Incarnation, Reason: tabulator.RemovedLeft})
 }
 
-func (c *Client) loop() {
+func (c *Client) renewLoop() {
 	for {
-		pause := c.pause()
-		revision := c.View().TableRevision()
+		interval := c.nextInterval()
+		oldRevision := c.View().TableRevision()
 		err := c.renew()
-		if revision != c.View().TableRevision() {
-			// The next renewal tells the control instance that the change is in force here.
-			pause = 0
+		if oldRevision != c.View().TableRevision() {
+			// Renew immediately, so that the control instance learns that the new revision is in force here.
+			interval = 0
 		}
 		if err != nil {
-			pause = retryInterval
-			c.circle.advance()
+			interval = retryInterval
+			c.peers.advance()
 		}
-		c.noteLease()
+		c.reportLeaseChange()
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
 
-func (c *Client) pause() time.Duration {
+func (c *Client) nextInterval() time.Duration {
 	if c.config.OnRoster != nil && c.board.Stamp() == (lister.RosterStamp{}) {
-		return firstRenewal
+		return initialRenewalInterval
 	}
-	return c.renewal
+	return c.renewalInterval
 }
 
 func (c *Client) renew() error {
-	peer, ok := c.circle.current()
+	p, ok := c.peers.current()
 	if !ok {
 		return errors.New("renew: no control instance is known")
 	}
 	view := c.View()
 	query := RenewQuery{Member: c.config.Member, Have: view.Revision(), Roster: c.board.Stamp(), Stamp: c.config.Timeline.Now()}
-	if c.config.Requests != nil {
-		query.Requests = c.config.Requests()
+	if c.config.CountRequests != nil {
+		query.Requests = c.config.CountRequests()
 	}
 	sentAt := c.config.Now()
 	var reply RenewReply
-	if err := peer.call("Renew", query, &reply, renewTimeout); err != nil {
+	if err := p.call("Renew", query, &reply, renewalTimeout); err != nil {
 		return err
 	}
 	c.config.Timeline.Observe(reply.Stamp)
 	if !reply.Granted {
 		return errors.Errorf("renew: %s", reply.Reason)
 	}
-	next, err := view.Apply(reply.Delta)
+	newView, err := view.Apply(reply.Delta)
 	if err != nil {
-		c.forgetView()
+		c.requestFullView()
 		return err
 	}
-	if next != view {
-		c.setView(next)
+	if newView != view {
+		c.setView(newView)
 	}
-	c.takeExtras(reply)
+	c.applyReply(reply)
 	select {
 	case <-c.stop:
 		return errors.New("renew: the instance is leaving")
 	default:
 	}
 	c.lease.Renew(sentAt)
-	c.until.Store(int64(c.lease.Until()))
+	c.leaseEnd.Store(int64(c.lease.Until()))
 	return nil
 }
 
-// takeExtras takes what comes along with a renewal beside the view.
-func (c *Client) takeExtras(reply RenewReply) {
+// applyReply applies the parts of a renewal reply other than the view.
+func (c *Client) applyReply(reply RenewReply) {
 	if reply.Renewal > 0 {
-		c.renewal = reply.Renewal
+		c.renewalInterval = reply.Renewal
 	}
 	if len(reply.Control) > 0 {
-		c.circle.replace(reply.Control)
+		c.peers.setAddresses(reply.Control)
 	}
 	if c.board.Apply(reply.Roster) && c.config.OnRoster != nil {
 		c.config.OnRoster(c.board.FullRoster())
 	}
 	c.board.Confirm(reply.Reading)
-	if c.config.OnRequests != nil {
-		c.config.OnRequests(reply.Requests)
+	if c.config.OnTotalRequests != nil {
+		c.config.OnTotalRequests(reply.Requests)
 	}
 }
 
-func (c *Client) setView(next *tabulator.View) {
+func (c *Client) setView(view *tabulator.View) {
 	c.mu.Lock()
-	changed := next.TableRevision() != c.view.TableRevision()
-	c.view = next
+	hasNewTable := view.TableRevision() != c.view.TableRevision()
+	c.view = view
 	c.mu.Unlock()
-	c.config.OnView(next)
-	if changed {
-		c.config.Timeline.Add("table-in-force", c.config.Member.Instance, "revision "+formatRevision(next.TableRevision()))
+	c.config.OnView(view)
+	if hasNewTable {
+		c.config.Timeline.Add("table-in-force", c.config.Member.Instance, "revision "+formatRevision(view.TableRevision()))
 	}
 }
 
-// forgetView makes the next renewal ask for the whole view; the one in force stays until then.
-func (c *Client) forgetView() {
+// requestFullView makes the next renewal request the full view. The current view stays in use until then.
+func (c *Client) requestFullView() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view = c.view.ForResync()
 }
 
-func (c *Client) noteLease() {
-	held := c.LeaseHeld(c.config.Now())
-	if held == c.held {
+func (c *Client) reportLeaseChange() {
+	isHeld := c.LeaseHeld(c.config.Now())
+	if isHeld == c.wasLeaseHeld {
 		return
 	}
-	c.held = held
-	if c.config.OnLease != nil {
-		c.config.OnLease(held)
+	c.wasLeaseHeld = isHeld
+	if c.config.OnLeaseChange != nil {
+		c.config.OnLeaseChange(isHeld)
 	}
-	if held {
+	if isHeld {
 		c.config.Timeline.Add("lease-held", c.config.Member.Instance, "ready")
 		return
 	}
 	c.config.Timeline.Add("lease-lost", c.config.Member.Instance, "not ready: no majority confirmed a renewal")
 }
 
-// anywhere tries each control instance, the present one first.
-func (c *Client) anywhere(try func(p *peer) error) error {
+// callAny tries the control instances in turn, the current one first, until a call succeeds, and returns the last error.
+func (c *Client) callAny(call func(p *peer) error) error {
 	err := errors.New("no control instance is known")
-	for _, p := range c.circle.all() {
-		if err = try(p); err == nil {
+	for _, p := range c.peers.all() {
+		if err = call(p); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func unlessFresh(fresh bool) error {
-	if fresh {
+func checkFresh(isFresh bool) error {
+	if isFresh {
 		return nil
 	}
-	return errors.New("no majority of the control instances confirmed the reading")
+	return errors.New("read not confirmed by a majority of the control instances")
 }
 
 func formatRevision(revision uint64) string { return strconv.FormatUint(revision, 10) }
--- a/pkg/controller/confirm_queue.go
+++ b/pkg/controller/confirm_queue.go
@@ -7,104 +7,110 @@
 )
 
 const (
-	// confirmPause is the least time between confirmations that one instance asks for: with 300 entry instances renewals come all
-	// the time, and each confirmation is a round of messages among the control instances. Renewals come each 400 ms.
-	confirmPause = 50 * time.Millisecond
-	// hurryTime is how long after the first confirmation there is no pause: entry instances that start need their first views.
-	hurryTime = 5 * time.Second
+	// minConfirmInterval is the minimum time between confirmation requests of one control instance. Each confirmation costs a
+	// round of messages among the control instances, and 300 entry instances that each renew every 400 ms would otherwise
+	// request confirmations almost continuously.
+	minConfirmInterval = 50 * time.Millisecond
+	// startupPeriod is the time after the first request during which confirmations are not limited, because starting entry
+	// instances need their first views quickly.
+	startupPeriod = 5 * time.Second
 )
 
 type (
-	// confirmPacer decides when the next confirmation may be asked for.
-	confirmPacer struct {
-		began   bool
-		firstAt time.Duration
-		lastAt  time.Duration
+	// confirmLimiter limits the rate of confirmation requests.
+	confirmLimiter struct {
+		hasStarted bool
+		firstAt    time.Duration
+		lastAt     time.Duration
 	}
 
-	// confirmQueue gathers everything that waits for a fresh index, so that one confirmation serves all of it.
+	// confirmQueue batches linearizable reads. A confirmation by a majority (the ReadIndex method of Raft) yields a log index
+	// that serves all reads queued before it was requested.
 	confirmQueue struct {
-		pacer    confirmPacer
-		nextID   uint64
-		inFlight uint64
-		asked    []func(ok bool)
-		waiting  []func(ok bool)
-		ready    []readyRead
+		limiter confirmLimiter
+		lastID  uint64
+		// inFlightID is the identifier of the confirmation in flight, or 0.
+		inFlightID uint64
+		inFlight   []func(ok bool)
+		queued     []func(ok bool)
+		confirmed  []confirmedRead
 	}
 
-	readyRead struct {
+	confirmedRead struct {
 		index uint64
 		done  func(ok bool)
 	}
 )
 
-// add runs done once the state machine holds all that was committed when add was called.
+// add calls done(true) once the state machine has applied every entry that was committed before add was called, or
+// done(false) if no majority confirms that.
 func (q *confirmQueue) add(s *Server, done func(ok bool)) {
 	if s.failed != nil {
 		done(false)
 		return
 	}
-	q.waiting = append(q.waiting, done)
-	q.ask(s)
+	q.queued = append(q.queued, done)
+	q.requestConfirm(s)
 }
 
-// ask asks for a confirmation where something waits for one; the control loop calls it at each tick as well.
-func (q *confirmQueue) ask(s *Server) {
-	if q.inFlight != 0 || len(q.waiting) == 0 || !q.pacer.take(s.config.Now()) {
+// requestConfirm requests a confirmation if reads are queued, none is in flight and the limiter allows it. The server loop
+// also calls it on each tick.
+func (q *confirmQueue) requestConfirm(s *Server) {
+	if q.inFlightID != 0 || len(q.queued) == 0 || !q.limiter.allow(s.config.Now()) {
 		return
 	}
-	q.nextID++
-	q.inFlight = q.nextID
-	q.asked, q.waiting = q.waiting, nil
-	s.step(replicator.Confirm{ID: q.inFlight})
+	q.lastID++
+	q.inFlightID = q.lastID
+	q.inFlight, q.queued = q.queued, nil
+	s.step(replicator.Confirm{ID: q.inFlightID})
 }
 
 func (q *confirmQueue) onConfirmed(s *Server, confirmed replicator.Confirmed) {
-	if confirmed.ID != q.inFlight {
+	if confirmed.ID != q.inFlightID {
 		return
 	}
-	asked := q.asked
-	q.asked, q.inFlight = nil, 0
-	for _, done := range asked {
+	reads := q.inFlight
+	q.inFlight, q.inFlightID = nil, 0
+	for _, done := range reads {
 		if !confirmed.OK {
 			done(false)
 			continue
 		}
-		q.ready = append(q.ready, readyRead{index: confirmed.Index, done: done})
+		q.confirmed = append(q.confirmed, confirmedRead{index: confirmed.Index, done: done})
 	}
-	q.ask(s)
+	q.requestConfirm(s)
 }
 
 func (q *confirmQueue) onApplied(applied uint64) {
-	kept := q.ready[:0]
-	for _, read := range q.ready {
+	remaining := q.confirmed[:0]
+	for _, read := range q.confirmed {
 		if read.index <= applied {
 			read.done(true)
 			continue
 		}
-		kept = append(kept, read)
+		remaining = append(remaining, read)
 	}
-	q.ready = kept
+	q.confirmed = remaining
 }
 
 func (q *confirmQueue) failAll() {
-	for _, done := range append(q.asked, q.waiting...) {
+	for _, done := range append(q.inFlight, q.queued...) {
 		done(false)
 	}
-	for _, read := range q.ready {
+	for _, read := range q.confirmed {
 		read.done(false)
 	}
-	*q = confirmQueue{nextID: q.nextID, pacer: q.pacer}
+	*q = confirmQueue{lastID: q.lastID, limiter: q.limiter}
 }
 
-// take tells whether a confirmation may be asked for now, and notes that it is.
-func (p *confirmPacer) take(now time.Duration) bool {
-	if !p.began {
-		p.began, p.firstAt = true, now
+// allow reports whether a confirmation may be requested now and, if so, records the request.
+func (l *confirmLimiter) allow(now time.Duration) bool {
+	if !l.hasStarted {
+		l.hasStarted, l.firstAt = true, now
 	}
-	if now-p.firstAt > hurryTime && now-p.lastAt < confirmPause {
+	if now-l.firstAt > startupPeriod && now-l.lastAt < minConfirmInterval {
 		return false
 	}
-	p.lastAt = now
+	l.lastAt = now
 	return true
 }
--- a/pkg/controller/confirm_queue_test.go
+++ b/pkg/controller/confirm_queue_test.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Load pattern: 60 entry instances renew at each control instance, one each 7 ms, and all of them start at once.
-func TestConfirmationsServeManyRenewals(t *testing.T) {
-	const renewalEvery, span = 7 * time.Millisecond, 2 * time.Second
+// Guards against one confirmation per renewal under load, and against limiting confirmations while entry instances start. The
+// load is that of 60 entry instances at one control instance: they start together and then send a renewal every 7 ms.
+func TestConfirmRequestsAreRateLimited(t *testing.T) {
+	const renewalInterval, period = 7 * time.Millisecond, 2 * time.Second
 	cases := []struct {
-		name        string
-		from        time.Duration
-		most, least int
+		name                     string
+		start                    time.Duration
+		maxConfirms, minConfirms int
 	}{
-		{"just after the start, each at once", 0, int(span/renewalEvery) + 1, int(span / renewalEvery)},
-		{"later, in batches", time.Minute, int(span/confirmPause) + 1, int(span/confirmPause) * 3 / 4},
+		{"during startup, no limit", 0, int(period/renewalInterval) + 1, int(period / renewalInterval)},
+		{"after startup, limited", time.Minute, int(period/minConfirmInterval) + 1, int(period/minConfirmInterval) * 3 / 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var pacer confirmPacer
-			pacer.take(0)
-			asked, longest := 0, time.Duration(0)
-			waits := time.Duration(-1)
-			for now := c.from; now < c.from+span; now += renewalEvery {
-				if waits < 0 {
-					waits = now
+			var limiter confirmLimiter
+			limiter.allow(0)
+			confirms, longestWait := 0, time.Duration(0)
+			waitingSince := time.Duration(-1)
+			for now := c.start; now < c.start+period; now += renewalInterval {
+				if waitingSince < 0 {
+					waitingSince = now
 				}
-				if pacer.take(now) {
-					asked++
-					longest = max(longest, now-waits)
-					waits = -1
+				if limiter.allow(now) {
+					confirms++
+					longestWait = max(longestWait, now-waitingSince)
+					waitingSince = -1
 				}
 			}
-			if asked > c.most || asked < c.least {
-				t.Errorf("%d confirmations, want %d to %d", asked, c.least, c.most)
+			if confirms > c.maxConfirms || confirms < c.minConfirms {
+				t.Errorf("got %d confirmation requests, want %d to %d", confirms, c.minConfirms, c.maxConfirms)
 			}
-			if longest > confirmPause+renewalEvery {
-				t.Errorf("a renewal waited %v", longest)
+			if longestWait > minConfirmInterval+renewalInterval {
+				t.Errorf("got a longest wait of %v for a renewal, want at most %v", longestWait, minConfirmInterval+renewalInterval)
 			}
 		})
 	}
 }
 
-func TestALoneRenewalIsConfirmedAtOnce(t *testing.T) {
-	var pacer confirmPacer
+func TestInfrequentRenewalsAreConfirmedImmediately(t *testing.T) {
+	var limiter confirmLimiter
 	for now := time.Duration(0); now < time.Minute; now += 400 * time.Millisecond {
-		if !pacer.take(now) {
-			t.Fatalf("the renewal at %v waits", now)
+		if !limiter.allow(now) {
+			t.Fatalf("renewal at %v: got a delayed confirmation, want an immediate one", now)
 		}
 	}
 }
--- a/pkg/controller/doc.go
+++ b/pkg/controller/doc.go
@@ -1,2 +1,3 @@
-// Package controller is the control side of the tier: servers that replicate the table, and the client through which an entry instance holds its lease.
+// Package controller replicates the table of weights, limits and members among control instances, grants leases to entry
+// instances and provides the client through which an entry instance renews its lease and submits commands.
 package controller
--- a/pkg/controller/failures_test.go
+++ b/pkg/controller/failures_test.go
@@ -16,22 +16,22 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-// failure is something named in the brief; undo ends it where it lasts.
+// failure is a fault to inject into the tier. undo ends a fault that would otherwise last.
 type failure struct {
-	name string
-	do   func(tier *testTier, client *Client)
-	undo func(tier *testTier, client *Client)
+	name   string
+	inject func(tier *testTier, client *Client)
+	undo   func(tier *testTier, client *Client)
 }
 
 func failures() []failure {
-	var isolated string
+	var killed string
 	return []failure{
 		{
 			"leader killed",
-			func(tier *testTier, _ *Client) { isolated = tier.leader(); tier.stop(isolated) },
+			func(tier *testTier, _ *Client) { killed = tier.waitForLeader(); tier.stop(killed) },
 			func(tier *testTier, _ *Client) {
 				for _, name := range tier.names {
-					if tier.nodes[name].server == nil {
+					if tier.instances[name].server == nil {
 						tier.start(name)
 					}
 				}
@@ -40,26 +40,26 @@
 		{
 			"leader silently isolated",
 			func(tier *testTier, _ *Client) {
-				tier.network.isolate(tier.leader(), true)
+				tier.network.setIsolated(tier.waitForLeader(), true)
 				time.Sleep(2 * time.Second)
 			},
 			func(tier *testTier, _ *Client) {
 				for _, name := range tier.names {
-					tier.network.isolate(name, false)
+					tier.network.setIsolated(name, false)
 				}
 			},
 		},
 		{
 			"disk lost and repaired",
 			func(tier *testTier, client *Client) {
-				name := tier.other(tier.leader())
-				lost := tier.nodes[name].journal.Identity().Node()
-				tier.repair(client, tier.loseDisk(name), lost)
+				name := tier.anyOtherThan(tier.waitForLeader())
+				lostNode := tier.instances[name].journal.Identity().Node()
+				tier.replaceVoter(client, tier.replaceDisk(name), lostNode)
 			},
 			func(*testTier, *Client) {},
 		},
 		{
-			"all restarted",
+			"all instances restarted",
 			func(tier *testTier, _ *Client) {
 				for _, name := range tier.names {
 					tier.stop(name)
@@ -71,19 +71,19 @@
 			func(*testTier, *Client) {},
 		},
 		{
-			"operators race",
+			"conflicting operator changes",
 			func(tier *testTier, client *Client) {
 				base := client.View().TableRevision()
 				row, _ := client.View().Row(tabulator.Key{Service: "s", DataCentre: "d"})
 				accepted := 0
 				for i := range 2 {
 					id := fmt.Sprintf("race-%d-%d", base, i)
-					if tier.put(client, rowChange(id, row.Revision(), 30+i)).Verdict == tabulator.VerdictAccepted {
+					if tier.propose(client, rowChange(id, row.Revision(), 30+i)).Verdict == tabulator.VerdictAccepted {
 						accepted++
 					}
 				}
 				if accepted > 1 {
-					tier.t.Error("two changes that rest on the same revision were both accepted")
+					tier.t.Error("got two changes with the same base revision accepted, want at most one")
 				}
 			},
 			func(*testTier, *Client) {},
@@ -91,108 +91,111 @@
 	}
 }
 
-// TestFailuresInPairs brings about each pair of failures around changes and looks for a lost, doubled or reverted one.
+// TestFailuresInPairs injects each ordered pair of faults between changes and checks that no accepted change is lost, applied
+// twice or reverted.
 func TestFailuresInPairs(t *testing.T) {
 	for i := range failures() {
 		for k := range failures() {
 			first, second := failures()[i], failures()[k]
 			t.Run(first.name+", then "+second.name, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { runPair(t, first, second) })
+				synctest.Test(t, func(t *testing.T) { runFailurePair(t, first, second) })
 			})
 		}
 	}
 }
 
-func runPair(t *testing.T, first, second failure) {
+func runFailurePair(t *testing.T, first, second failure) {
 	tier := newTestTier(t, 3)
 	defer tier.close()
-	tier.leader()
-	client := tier.entry("entry-1")
-	before := tier.put(client, rowChange("before", 0, 2))
-	tier.until("the first change is in force", func() bool { return client.View().TableRevision() >= before.Revision })
-	first.do(tier, client)
-	between := tier.put(client, tabulator.SetDataCentre{ChangeID: "between", Name: "d2", State: tabulator.StateOut})
+	tier.waitForLeader()
+	client := tier.newEntryClient("entry-1")
+	before := tier.propose(client, rowChange("before", 0, 2))
+	tier.waitUntil("first change in force", func() bool { return client.View().TableRevision() >= before.Revision })
+	first.inject(tier, client)
+	between := tier.propose(client, tabulator.SetDataCentre{ChangeID: "between", Name: "d2", State: tabulator.StateOut})
 	if first.name != second.name {
 		first.undo(tier, client)
 	}
-	tier.leader()
-	second.do(tier, client)
+	tier.waitForLeader()
+	second.inject(tier, client)
 	second.undo(tier, client)
 	first.undo(tier, client)
-	after := tier.put(client, tabulator.SetDataCentre{ChangeID: "after", Name: "d3", State: tabulator.StateOut})
-	tier.until("all is in force", func() bool {
+	after := tier.propose(client, tabulator.SetDataCentre{ChangeID: "after", Name: "d3", State: tabulator.StateOut})
+	tier.waitUntil("all changes in force and lease held", func() bool {
 		return client.View().TableRevision() >= after.Revision && client.LeaseHeld(tier.now())
 	})
 	for id, want := range map[string]tabulator.Result{"before": before, "between": between, "after": after} {
 		reply, err := client.Lookup(id)
 		if err != nil || !reply.Known || reply.Result.Revision != want.Revision || reply.Result.Verdict != tabulator.VerdictAccepted {
-			t.Errorf("change %s: %+v, %v; it was accepted at revision %d", id, reply, err, want.Revision)
+			t.Errorf("change %s: got %+v, error %v, want it accepted at revision %d", id, reply, err, want.Revision)
 		}
 	}
-	if again := tier.put(client, rowChange("before", 0, 2)); !again.Repeated || again.Revision != before.Revision {
-		t.Errorf("the change sent again: %+v", again)
+	if repeated := tier.propose(client, rowChange("before", 0, 2)); !repeated.Repeated || repeated.Revision != before.Revision {
+		t.Errorf("change sent twice: got %+v, want the repeated result of revision %d", repeated, before.Revision)
 	}
 	for _, name := range []string{"d2", "d3"} {
 		if client.View().DataCentre(name).State != tabulator.StateOut {
-			t.Errorf("data centre %s is in again", name)
+			t.Errorf("data centre %s: got state %q, want %q", name, client.View().DataCentre(name).State, tabulator.StateOut)
 		}
 	}
 }
 
-func TestSecondInstanceLostRightAfterARepair(t *testing.T) {
+// The replaced voter starts with an empty disk. Stopping the leader right afterwards loses changes if the new voter was promoted
+// before it held the log.
+func TestChangesSurviveLeaderLossAfterVoterReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 3)
 		defer tier.close()
-		client := tier.entry("entry-1")
-		leader := tier.leader()
+		client := tier.newEntryClient("entry-1")
+		leader := tier.waitForLeader()
 		for i := range 50 {
-			tier.put(client, tabulator.SetDataCentre{ChangeID: fmt.Sprintf("c%d", i), Name: fmt.Sprintf("d%d", i), State: tabulator.StateOut})
+			tier.propose(client, tabulator.SetDataCentre{ChangeID: fmt.Sprintf("c%d", i), Name: fmt.Sprintf("d%d", i), State: tabulator.StateOut})
 		}
-		lostFirst := tier.other(leader)
-		old := tier.nodes[lostFirst].journal.Identity().Node()
-		tier.repair(client, tier.loseDisk(lostFirst), old)
+		replaced := tier.anyOtherThan(leader)
+		lostNode := tier.instances[replaced].journal.Identity().Node()
+		tier.replaceVoter(client, tier.replaceDisk(replaced), lostNode)
 		tier.stop(leader)
 		history, err := client.History()
 		for err != nil {
 			history, err = client.History()
 		}
 		if len(history.Entries) != 50 {
-			t.Fatalf("%d of 50 changes are left", len(history.Entries))
+			t.Fatalf("got %d changes in the history, want 50", len(history.Entries))
 		}
 	})
 }
 
-func TestIsolatedControlInstanceKeepsNobodyOnAnOldTable(t *testing.T) {
+func TestIsolatedControlInstanceGrantsNoLeaseOnOldTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 3)
 		defer tier.close()
-		leader := tier.leader()
-		captive := tier.entry("entry-1", leader)
-		free := tier.entry("entry-2", tier.other(leader))
-		tier.until("both hold a lease", func() bool { return captive.LeaseHeld(tier.now()) && free.LeaseHeld(tier.now()) })
-		tier.network.isolate(leader, true)
-		change := tier.put(free, tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
-		accepted := tier.now()
-		for tier.now() < accepted+time.Hour {
-			if captive.LeaseHeld(tier.now()) && captive.View().TableRevision() < change.Revision && tier.now() > accepted+assigner.LeaseLength {
-				t.Fatalf("an instance acts on an old table %s after the change", tier.now()-accepted)
+		leader := tier.waitForLeader()
+		isolated := tier.newEntryClient("entry-1", leader)
+		connected := tier.newEntryClient("entry-2", tier.anyOtherThan(leader))
+		tier.waitUntil("both entry instances hold a lease", func() bool { return isolated.LeaseHeld(tier.now()) && connected.LeaseHeld(tier.now()) })
+		tier.network.setIsolated(leader, true)
+		change := tier.propose(connected, tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
+		acceptedAt := tier.now()
+		for tier.now() < acceptedAt+time.Hour {
+			if isolated.LeaseHeld(tier.now()) && isolated.View().TableRevision() < change.Revision && tier.now() > acceptedAt+assigner.LeaseLength {
+				t.Fatalf("got a lease on the old table %s after the change, want none after %s", tier.now()-acceptedAt, assigner.LeaseLength)
 			}
 			time.Sleep(time.Minute)
 		}
-		tier.network.isolate(leader, false)
-		tier.until("the isolated instance's sessions are fresh again", func() bool {
-			return captive.LeaseHeld(tier.now()) && captive.View().TableRevision() >= change.Revision
+		tier.network.setIsolated(leader, false)
+		tier.waitUntil("the entry instance holds a lease on the new table", func() bool {
+			return isolated.LeaseHeld(tier.now()) && isolated.View().TableRevision() >= change.Revision
 		})
 	})
 }
 
-func TestInForceIsSaidOnlyWhenItIs(t *testing.T) {
+func TestInForceEverywhereOnlyWithoutLeasesOnOldTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 3)
 		defer tier.close()
-		leader := tier.leader()
-		entries := []*Client{tier.entry("entry-1"), tier.entry("entry-2"), tier.entry("entry-3")}
-		tier.until("all hold a lease", func() bool {
+		leader := tier.waitForLeader()
+		entries := []*Client{tier.newEntryClient("entry-1"), tier.newEntryClient("entry-2"), tier.newEntryClient("entry-3")}
+		tier.waitUntil("all entry instances hold a lease", func() bool {
 			for _, e := range entries {
 				if !e.LeaseHeld(tier.now()) {
 					return false
@@ -200,156 +203,156 @@
 			}
 			return true
 		})
-		tier.network.isolate("entry-3", true)
-		begun := tier.now()
-		change := tier.put(entries[0], tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
-		tier.until("the change is in force everywhere", func() bool {
+		tier.network.setIsolated("entry-3", true)
+		proposedAt := tier.now()
+		change := tier.propose(entries[0], tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
+		tier.waitUntil("change in force everywhere", func() bool {
 			reply, err := entries[0].InForce(change.Revision)
 			if err != nil || !reply.Everywhere {
 				return false
 			}
 			for i, e := range entries {
 				if e.LeaseHeld(tier.now()) && e.View().TableRevision() < change.Revision {
-					t.Fatalf("entry-%d acts on the old table", i+1)
+					t.Fatalf("entry-%d: got a lease on table revision %d, want at least %d", i+1, e.View().TableRevision(), change.Revision)
 				}
 			}
 			return true
 		})
-		if took := tier.now() - begun; took > 3*time.Second {
-			t.Errorf("in force after %s", took)
+		if elapsed := tier.now() - proposedAt; elapsed > 3*time.Second {
+			t.Errorf("got the change in force after %s, want at most 3 s", elapsed)
 		}
 		_ = leader
 	})
 }
 
-func TestMemberWithoutRenewalsIsRemoved(t *testing.T) {
+func TestMemberIsRemovedAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 3)
 		defer tier.close()
-		tier.leader()
-		watching, leaving := tier.entry("entry-1"), tier.entry("entry-2")
-		tier.until("both are members", func() bool { return len(watching.View().Members()) == 2 })
-		tier.network.isolate("entry-2", true)
-		tier.until("the silent one is removed", func() bool { return len(watching.View().Members()) == 1 })
-		if leaving.LeaseHeld(tier.now()) {
-			t.Error("a member was removed while its lease was held")
+		tier.waitForLeader()
+		observer, isolated := tier.newEntryClient("entry-1"), tier.newEntryClient("entry-2")
+		tier.waitUntil("both are registered", func() bool { return len(observer.View().Members()) == 2 })
+		tier.network.setIsolated("entry-2", true)
+		tier.waitUntil("isolated member removed", func() bool { return len(observer.View().Members()) == 1 })
+		if isolated.LeaseHeld(tier.now()) {
+			t.Error("got a held lease on the removed member, want it expired")
 		}
-		tier.network.isolate("entry-2", false)
-		tier.until("it joins again", func() bool { return len(watching.View().Members()) == 2 })
+		tier.network.setIsolated("entry-2", false)
+		tier.waitUntil("isolated member joins again", func() bool { return len(observer.View().Members()) == 2 })
 	})
 }
 
-func TestLeavingMemberIsGoneAtOnce(t *testing.T) {
+func TestLeavingMemberIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 3)
 		defer tier.close()
-		tier.leader()
-		watching, leaving := tier.entry("entry-1"), tier.entry("entry-2")
-		tier.until("both are members", func() bool { return len(watching.View().Members()) == 2 })
+		tier.waitForLeader()
+		observer, leaving := tier.newEntryClient("entry-1"), tier.newEntryClient("entry-2")
+		tier.waitUntil("both are registered", func() bool { return len(observer.View().Members()) == 2 })
 		leaving.Leave()
 		if leaving.LeaseHeld(tier.now()) {
-			t.Error("the lease is held after the leave")
+			t.Error("got a held lease after Leave, want none")
 		}
-		tier.until("it is removed", func() bool { return len(watching.View().Members()) == 1 })
+		tier.waitUntil("leaving member removed", func() bool { return len(observer.View().Members()) == 1 })
 	})
 }
 
-func TestEntriesMoveFromALostControlInstance(t *testing.T) {
+func TestClientFailsOverFromStoppedControlInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 3)
 		defer tier.close()
-		leader := tier.leader()
-		entry := tier.entry("entry-1")
-		tier.until("it holds a lease", func() bool { return entry.LeaseHeld(tier.now()) })
+		leader := tier.waitForLeader()
+		entry := tier.newEntryClient("entry-1")
+		tier.waitUntil("entry instance holds a lease", func() bool { return entry.LeaseHeld(tier.now()) })
 		tier.stop(leader)
-		tier.until("it holds a lease through another one", func() bool {
+		tier.waitUntil("entry instance holds a lease through another control instance", func() bool {
 			members := entry.View().Members()
 			return entry.LeaseHeld(tier.now()) && len(members) == 1 && members[0].Fields().Via != leader
 		})
 	})
 }
 
-func TestForeignersAreRefused(t *testing.T) {
+func TestConnectionWithWrongSecretIsRefused(t *testing.T) {
 	tests := []struct {
 		name   string
 		secret linker.Secret
-	}{{"another key", linker.NewSecret(testCluster, []byte("other"))}, {"another cluster", linker.NewSecret("other", []byte("key"))}}
+	}{{"wrong key", linker.NewSecret(testCluster, []byte("other"))}, {"wrong cluster", linker.NewSecret("other", []byte("key"))}}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tier := newTestTier(t, 1)
 				defer tier.close()
-				foreign := linker.New(test.secret, linker.WithDial(tier.network.dialer("stranger")))
-				if _, err := foreign.Connect("control-1"); err == nil || !strings.Contains(err.Error(), "control-1") {
-					t.Fatalf("connect: %v", err)
+				other := linker.New(test.secret, linker.WithDial(tier.network.dialer("unknown")))
+				if _, err := other.Connect("control-1"); err == nil || !strings.Contains(err.Error(), "control-1") {
+					t.Fatalf("connect: got error %v, want one that names control-1", err)
 				}
 			})
 		})
 	}
 }
 
-func TestRestartAfterManyChanges(t *testing.T) {
+func TestLogIsCompactedAndRestoredAfterRestart(t *testing.T) {
 	for _, changes := range []int{1, 300, 3000} {
 		t.Run(fmt.Sprint(changes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tier := newTestTier(t, 1)
 				defer tier.close()
-				tier.leader()
-				client := tier.entry("entry-1")
+				tier.waitForLeader()
+				client := tier.newEntryClient("entry-1")
 				for i := range changes {
-					tier.put(client, tabulator.SetDataCentre{ChangeID: fmt.Sprint(i), Name: fmt.Sprintf("d%d", i), State: tabulator.StateOut})
+					tier.propose(client, tabulator.SetDataCentre{ChangeID: fmt.Sprint(i), Name: fmt.Sprintf("d%d", i), State: tabulator.StateOut})
 				}
 				tier.stop("control-1")
 				tier.start("control-1")
-				tier.leader()
+				tier.waitForLeader()
 				var status StatusReply
-				if err := NewService(tier.nodes["control-1"].server).Status(StatusQuery{}, &status); err != nil {
+				if err := NewService(tier.instances["control-1"].server).Status(StatusQuery{}, &status); err != nil {
 					t.Fatal(err)
 				}
-				if status.Status.LogLength > 2*snapshotEvery {
-					t.Errorf("%d log entries after the restart", status.Status.LogLength)
+				if status.Status.LogLength > 2*snapshotEntries {
+					t.Errorf("got %d log entries after the restart, want at most %d", status.Status.LogLength, 2*snapshotEntries)
 				}
 				reply, err := client.Lookup(fmt.Sprint(changes - 1))
 				if err != nil || !reply.Known {
-					t.Errorf("the last change is not there: %+v, %v", reply, err)
+					t.Errorf("last change: got %+v, error %v, want it known", reply, err)
 				}
 			})
 		})
 	}
 }
 
-func TestFormatOfAnotherClusterIsRefused(t *testing.T) {
+func TestDataFolderOfAnotherClusterIsRefused(t *testing.T) {
 	folder := t.TempDir() + "/data"
 	if _, err := journaler.Format(folder, "one", "control-1", true); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := journaler.Open(folder, "two", "control-1"); err == nil {
-		t.Fatal("the folder of another cluster was opened")
+		t.Fatal("data folder of another cluster: got no error, want one")
 	}
 }
 
-// brokenStore is a disk that takes nothing.
-type brokenStore struct{}
+// failingStore fails every write.
+type failingStore struct{}
 
-func (brokenStore) Persist([]replicator.Write) error { return errors.New("no space left on device") }
+func (failingStore) Persist([]replicator.Write) error { return errors.New("no space left on device") }
 
-func TestNothingIsAcknowledgedAfterAFailedWrite(t *testing.T) {
+func TestNothingIsAcknowledgedAfterFailedWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 1)
 		defer tier.close()
-		tier.leader()
-		server := tier.nodes["control-1"].server
-		if err := server.do(func() { server.config.Store = brokenStore{} }); err != nil {
+		tier.waitForLeader()
+		server := tier.instances["control-1"].server
+		if err := server.enqueue(func() { server.config.Store = failingStore{} }); err != nil {
 			t.Fatal(err)
 		}
 		for range 2 {
 			reply := server.propose(tabulator.SetDataCentre{ChangeID: "c", Name: "d", State: tabulator.StateOut})
 			if reply.Result.Verdict == tabulator.VerdictAccepted {
-				t.Fatalf("%+v although nothing reached the disk", reply)
+				t.Fatalf("got %+v after a failed disk write, want no acceptance", reply)
 			}
 		}
 		if reply := server.renew(RenewQuery{Member: tabulator.MemberFields{Instance: "e", Incarnation: 1}}); reply.Granted {
-			t.Fatal("a lease was granted by an instance whose disk failed")
+			t.Fatal("got a lease granted after a failed disk write, want none")
 		}
 	})
 }
--- a/pkg/controller/load.go
+++ b/pkg/controller/load.go
@@ -1,7 +1,3 @@
-// Entry instances tell with their renewals how many requests they had, and learn
-// how many all of them had: control instances sum up their sessions, and the
-// leader the control instances.
-
 package controller
 
 import (
@@ -10,32 +6,34 @@
 	"lovagedeck/pkg/assigner"
 )
 
-// requests sums up what the sessions of this instance told last.
-func (s *sessions) requests(now time.Duration) int {
-	sum := 0
-	for _, held := range s.own {
-		if now < assigner.GrantEnd(held.grantedAt) {
-			sum += held.requests
+// countRequests returns the sum of the request counts that the entry instances with a session here sent with their last
+// renewal. The leader adds up the sums of all control instances, and entry instances receive the total with their renewals.
+func (s *sessions) countRequests(now time.Duration) int {
+	total := 0
+	for _, lease := range s.local {
+		if now < assigner.GrantEnd(lease.grantedAt) {
+			total += lease.requests
 		}
 	}
-	return sum
+	return total
 }
 
-// allRequests returns the requests of all entry instances: what the leader summed up, elsewhere what it told last.
-func (s *sessions) allRequests(now time.Duration) int {
-	if !s.leading {
-		return s.told
+// totalRequests returns the request count of all entry instances. Instances other than the leader return the total that the
+// leader last sent.
+func (s *sessions) totalRequests(now time.Duration) int {
+	if !s.isLeader {
+		return s.leaderTotal
 	}
-	sum := s.requests(now)
+	total := s.countRequests(now)
 	for from, r := range s.reports {
-		if from != s.instance && now <= assigner.GrantEnd(r.at) {
-			sum += r.requests
+		if from != s.instance && now <= assigner.GrantEnd(r.lastContact) {
+			total += r.requests
 		}
 	}
-	return sum
+	return total
 }
 
-// takeRequests takes what the leader says of the requests of all entry instances.
-func (s *Server) takeRequests(all int) error {
-	return s.do(func() { s.sessions.told = all })
+// setTotalRequests records the total request count received from the leader.
+func (s *Server) setTotalRequests(total int) error {
+	return s.enqueue(func() { s.sessions.leaderTotal = total })
 }
--- a/pkg/controller/outbox.go
+++ b/pkg/controller/outbox.go
@@ -9,51 +9,51 @@
 	"lovagedeck/pkg/timeliner"
 )
 
-// outbox sends the messages of the replicated log to one node, in batches. A
-// batch that fails is dropped: the replicator sends again what matters.
+// outbox sends replicated-log messages to one node in batches. A batch that fails is dropped, because the replicator
+// retransmits what is still needed.
 type outbox struct {
-	peer    *peer
-	stamp   func() timeliner.Stamp
-	mu      sync.Mutex
-	wake    *sync.Cond
-	waiting []replicator.Message
-	closed  bool
+	peer     *peer
+	stamp    func() timeliner.Stamp
+	mu       sync.Mutex
+	cond     *sync.Cond
+	queued   []replicator.Message
+	isClosed bool
 }
 
 func newOutbox(p *peer, stamp func() timeliner.Stamp, group *conc.WaitGroup) *outbox {
 	o := &outbox{peer: p, stamp: stamp}
-	o.wake = sync.NewCond(&o.mu)
+	o.cond = sync.NewCond(&o.mu)
 	group.Go(o.run)
 	return o
 }
 
 func (o *outbox) add(message replicator.Message) {
 	o.mu.Lock()
-	if len(o.waiting) < outboxLimit {
-		o.waiting = append(o.waiting, message)
+	if len(o.queued) < maxOutboxMessages {
+		o.queued = append(o.queued, message)
 	}
 	o.mu.Unlock()
-	o.wake.Signal()
+	o.cond.Signal()
 }
 
 func (o *outbox) close() {
 	o.mu.Lock()
-	o.closed = true
+	o.isClosed = true
 	o.mu.Unlock()
-	o.wake.Signal()
+	o.cond.Signal()
 	o.peer.close()
 }
 
 func (o *outbox) run() {
 	for {
 		o.mu.Lock()
-		for !o.closed && len(o.waiting) == 0 {
-			o.wake.Wait()
+		for !o.isClosed && len(o.queued) == 0 {
+			o.cond.Wait()
 		}
-		messages, closed := o.waiting, o.closed
-		o.waiting = nil
+		messages, isClosed := o.queued, o.isClosed
+		o.queued = nil
 		o.mu.Unlock()
-		if closed {
+		if isClosed {
 			return
 		}
 		_ = o.peer.call("Step", StepQuery{Messages: messages, Stamp: o.stamp()}, &struct{}{}, stepTimeout)
--- a/pkg/controller/peer.go
+++ b/pkg/controller/peer.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	outboxLimit  = 4096
-	stepTimeout  = time.Second
-	reachTimeout = 700 * time.Millisecond
+	maxOutboxMessages = 4096
+	stepTimeout       = time.Second
+	peerCallTimeout   = 700 * time.Millisecond
 )
 
-// peer is the way to one control instance.
+// peer is a connection to one control instance.
 type peer struct {
-	line *linker.Peer
+	conn *linker.Peer
 }
 
 func newPeer(l *linker.Linker, address string) *peer {
-	return &peer{line: l.NewPeer(address)}
+	return &peer{conn: l.NewPeer(address)}
 }
 
 func (p *peer) call(method string, query, reply any, timeout time.Duration) error {
-	return p.line.Call("Control."+method, query, reply, timeout)
+	return p.conn.Call("Control."+method, query, reply, timeout)
 }
 
-func (p *peer) address() string { return p.line.Address() }
+func (p *peer) address() string { return p.conn.Address() }
 
-func (p *peer) close() { p.line.Close() }
+func (p *peer) close() { p.conn.Close() }
--- a/pkg/controller/propose.go
+++ b/pkg/controller/propose.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	refusedNoLeader  = "no leader is known"
-	refusedUnsettled = "the log has fewer voters than it should have"
+	refusedNoLeader     = "no leader is known"
+	refusedTooFewVoters = "the log has fewer voters than it should have"
 )
 
 func (s *Server) propose(command tabulator.Command) ProposeReply {
@@ -17,11 +17,12 @@
 	if err != nil {
 		return ProposeReply{Refused: err.Error()}
 	}
-	return s.proposeData(data, false)
+	return s.proposeEncoded(data, false)
 }
 
-// proposeData proposes here where this instance leads, and passes the command on to the leader otherwise.
-func (s *Server) proposeData(data []byte, forwarded bool) ProposeReply {
+// proposeEncoded proposes the encoded command if this instance is the leader, and forwards it to the leader otherwise. A
+// command that was already forwarded once is refused.
+func (s *Server) proposeEncoded(data []byte, isForwarded bool) ProposeReply {
 	if _, err := tabulator.Decode(data); err != nil {
 		return ProposeReply{Refused: err.Error()}
 	}
@@ -31,14 +32,14 @@
 	if leader == nil {
 		return reply
 	}
-	if forwarded {
+	if isForwarded {
 		return ProposeReply{Refused: refusedNoLeader}
 	}
-	var answer ProposeReply
-	if err := leader.call("Propose", ProposeQuery{Command: data, Forwarded: true}, &answer, answerTimeout); err != nil {
+	var leaderReply ProposeReply
+	if err := leader.call("Propose", ProposeQuery{Command: data, Forwarded: true}, &leaderReply, answerTimeout); err != nil {
 		return ProposeReply{Unknown: true}
 	}
-	return answer
+	return leaderReply
 }
 
 func (s *Server) configure(query ConfigQuery) (ProposeReply, *peer) {
@@ -47,27 +48,28 @@
 	})
 }
 
-// submit proposes where this instance leads and waits; otherwise it returns the leader.
-func (s *Server) submit(input func(tag uint64) replicator.Input) (ProposeReply, *peer) {
+// submit proposes the input and waits for the outcome if this instance is the leader. Otherwise it returns the leader, or a
+// refusal if none is known.
+func (s *Server) submit(newInput func(tag uint64) replicator.Input) (ProposeReply, *peer) {
 	done := make(chan ProposeReply, 1)
-	elsewhere := make(chan *peer, 1)
-	err := s.do(func() {
+	leaderPeer := make(chan *peer, 1)
+	err := s.enqueue(func() {
 		if s.failed != nil {
 			done <- ProposeReply{Refused: s.failed.Error()}
 			return
 		}
-		if !s.leading() {
-			if p, ok := s.peerOf(instanceOf(s.core.Leader())); ok {
-				elsewhere <- p
+		if !s.isLeader() {
+			if p, ok := s.peerFor(instanceOf(s.core.Leader())); ok {
+				leaderPeer <- p
 				return
 			}
 			done <- ProposeReply{Refused: refusedNoLeader}
 			return
 		}
 		s.lastTag++
-		proposed := input(s.lastTag)
-		if _, ok := proposed.(replicator.Propose); ok && !s.recruits.settled(s) {
-			done <- ProposeReply{Refused: refusedUnsettled}
+		proposed := newInput(s.lastTag)
+		if _, ok := proposed.(replicator.Propose); ok && !s.membership.allowsCommands(s) {
+			done <- ProposeReply{Refused: refusedTooFewVoters}
 			return
 		}
 		s.waiters[tagKey(s.lastTag)] = proposal{done: done}
@@ -79,7 +81,7 @@
 	select {
 	case reply := <-done:
 		return reply, nil
-	case leader := <-elsewhere:
+	case leader := <-leaderPeer:
 		return ProposeReply{}, leader
 	case <-s.stop:
 		return ProposeReply{Unknown: true}, nil
@@ -88,7 +90,7 @@
 	}
 }
 
-// onProposed moves the waiter of a proposal to the index of its entry.
+// onProposed rekeys each waiting proposal from its tag to the log index of its entry, or reports its refusal.
 func (s *Server) onProposed(results []replicator.Proposed) {
 	for _, result := range results {
 		waiter, ok := s.waiters[tagKey(result.Tag)]
@@ -105,12 +107,13 @@
 	}
 }
 
-// tagKey keeps tags apart from log indexes, which never have the highest bit set.
+// tagKey returns the key of a proposal that has no log index yet. Log indexes never have the highest bit set, so the two
+// kinds of keys cannot collide.
 func tagKey(tag uint64) uint64 { return tag | 1<<63 }
 
 func changeConfig(config replicator.Config, query ConfigQuery) replicator.Config {
 	next := replicator.Config{
-		Voters: without(config.Voters, query.Node), Learners: without(config.Learners, query.Node),
+		Voters: removeNode(config.Voters, query.Node), Learners: removeNode(config.Learners, query.Node),
 	}
 	switch query.Action {
 	case ActionAddLearner:
@@ -121,7 +124,7 @@
 	return next
 }
 
-func without(nodes []replicator.NodeID, node replicator.NodeID) []replicator.NodeID {
+func removeNode(nodes []replicator.NodeID, node replicator.NodeID) []replicator.NodeID {
 	kept := make([]replicator.NodeID, 0, len(nodes))
 	for _, other := range nodes {
 		if other != node {
--- a/pkg/controller/recruits.go
+++ b/pkg/controller/recruits.go
@@ -1,7 +1,3 @@
-// Control instances that are not listed in the settings find each other
-// through seeds: who has no place in the log announces itself to the seeds and
-// to every member it was told of, and the leader takes it in.
-
 package controller
 
 import (
@@ -14,69 +10,72 @@
 )
 
 const (
-	announceInterval = 200 * time.Millisecond
-	announceTimeout  = 400 * time.Millisecond
-	recruitInterval  = 40 * time.Millisecond
-	// lostLeader is how long a member hears of no leader before it announces itself again: it may have been removed meanwhile.
-	lostLeader = 2 * replicator.ElectionTimeout
-	// settleTime is how long a new leader waits for the expected number of voters before it accepts commands with fewer.
-	settleTime = 5 * time.Second
+	announceInterval   = 200 * time.Millisecond
+	announceTimeout    = 400 * time.Millisecond
+	membershipInterval = 40 * time.Millisecond
+	// leaderLossTimeout is the time without contact from a leader after which a member announces itself again, because it may
+	// have been removed in the meantime.
+	leaderLossTimeout = 2 * replicator.ElectionTimeout
+	// votersTimeout is how long a new leader refuses commands while the log has fewer voters than expected.
+	votersTimeout = 5 * time.Second
 )
 
 type (
-	// Founding tells how control instances find each other.
-	Founding struct {
-		// Seeds are addresses of control instances, of which some may be wrong or down.
+	// Discovery configures how control instances that the settings do not list find each other.
+	Discovery struct {
+		// Seeds returns addresses of control instances. Some may be wrong or unreachable.
 		Seeds func() []string
-		// Voters is how many voters a log should have before it takes commands.
-		Voters int
+		// ExpectedVoters is the number of voters that the log should have before the leader accepts commands.
+		ExpectedVoters int
 	}
 
-	recruits struct {
-		founding   *Founding
-		candidates map[replicator.NodeID]time.Duration
-		nextLook   time.Duration
-		busy       bool
-		leadsSince time.Duration
-		leading    bool
-		members    map[string]bool
+	// membership tracks join requests and changes the members of the replicated log. An instance that is not a member
+	// announces itself to the seeds and to every instance named in a reply, and the leader adds it.
+	membership struct {
+		discovery      *Discovery
+		joinRequests   map[replicator.NodeID]time.Duration
+		nextCheck      time.Duration
+		isChanging     bool
+		leaderSince    time.Duration
+		isLeading      bool
+		knownInstances map[string]bool
 	}
 )
 
-func newRecruits(founding *Founding) recruits {
-	return recruits{founding: founding, candidates: map[replicator.NodeID]time.Duration{}, members: map[string]bool{}}
+func newMembership(discovery *Discovery) membership {
+	return membership{discovery: discovery, joinRequests: map[replicator.NodeID]time.Duration{}, knownInstances: map[string]bool{}}
 }
 
-// tickIfDue makes the next change of the members where this instance leads.
-func (r *recruits) tickIfDue(s *Server) {
+// changeIfDue starts the next membership change if this instance is the leader and no change is in progress.
+func (m *membership) changeIfDue(s *Server) {
 	now := s.config.Now()
-	if r.founding == nil || now < r.nextLook || s.failed != nil {
+	if m.discovery == nil || now < m.nextCheck || s.failed != nil {
 		return
 	}
-	r.nextLook = now + recruitInterval
-	if leading := s.core.Leading(); leading != r.leading {
-		r.leading, r.leadsSince = leading, now
+	m.nextCheck = now + membershipInterval
+	if isLeading := s.core.Leading(); isLeading != m.isLeading {
+		m.isLeading, m.leaderSince = isLeading, now
 	}
-	if !r.leading || r.busy {
+	if !m.isLeading || m.isChanging {
 		return
 	}
 	status := s.core.Status()
 	change := recruiter.Decide(recruiter.View{
 		Self: status.ID, Now: now, Config: status.Config, Commit: status.Commit, Match: status.Match,
-		HeardAt: status.HeardAt, JoinRequests: r.candidates,
+		HeardAt: status.HeardAt, JoinRequests: m.joinRequests,
 	})
 	if change.Action == recruiter.NoChange {
 		return
 	}
-	r.busy = true
-	s.config.Note("control-member", string(change.Node), change.Action.String()+": "+change.Reason)
+	m.isChanging = true
+	s.config.OnEvent("control-member", string(change.Node), change.Action.String()+": "+change.Reason)
 	query := ConfigQuery{Action: configActions[change.Action], Node: change.Node}
 	s.group.Go(func() {
 		reply, _ := s.configure(query)
 		if reply.Refused != "" {
-			s.config.Note("control-member", string(change.Node), "refused: "+reply.Refused)
+			s.config.OnEvent("control-member", string(change.Node), "refused: "+reply.Refused)
 		}
-		_ = s.do(func() { r.busy = false })
+		_ = s.enqueue(func() { m.isChanging = false })
 	})
 }
 
@@ -84,15 +83,16 @@
 	recruiter.AddLearner: ActionAddLearner, recruiter.Promote: ActionPromote, recruiter.Remove: ActionRemove,
 }
 
-// settled tells whether the log has the voters that its durability rests on.
-func (r *recruits) settled(s *Server) bool {
-	if r.founding == nil {
+// allowsCommands reports whether the log has the number of voters that its durability requires, or has waited votersTimeout
+// for them.
+func (m *membership) allowsCommands(s *Server) bool {
+	if m.discovery == nil {
 		return true
 	}
-	return len(s.core.Config().Voters) >= r.founding.Voters || s.config.Now()-r.leadsSince > settleTime
+	return len(s.core.Config().Voters) >= m.discovery.ExpectedVoters || s.config.Now()-m.leaderSince > votersTimeout
 }
 
-// announceLoop asks for a place in the log while this instance has none, or hears of no leader.
+// announceLoop sends join requests while this instance is not a member of the log or has lost contact with the leader.
 func (s *Server) announceLoop() {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -114,9 +114,9 @@
 
 func (s *Server) announce(peers map[string]*peer) {
 	var targets []string
-	_ = s.await(func(done func()) {
+	_ = s.enqueueAndWait(func(done func()) {
 		defer done()
-		if s.needsPlace() {
+		if s.shouldAnnounce() {
 			targets = s.announceTargets()
 		}
 	})
@@ -132,54 +132,55 @@
 			if err := p.call("Announce", query, &reply, announceTimeout); err != nil {
 				return
 			}
-			_ = s.do(func() { s.recruits.learn(reply) })
+			_ = s.enqueue(func() { s.membership.setKnownInstances(reply) })
 		})
 	}
 	group.Wait()
 }
 
-func (s *Server) needsPlace() bool {
-	if s.failed != nil || s.leading() {
+func (s *Server) shouldAnnounce() bool {
+	if s.failed != nil || s.isLeader() {
 		return false
 	}
-	return !s.core.Member() || s.config.Now()-s.core.HeardAt() > lostLeader
+	return !s.core.Member() || s.config.Now()-s.core.HeardAt() > leaderLossTimeout
 }
 
-// announceTargets returns the seeds, the members of the log and whoever else was named, without this instance.
+// announceTargets returns the addresses of the seeds, of the voters and of the instances named in announce replies, except
+// this instance.
 func (s *Server) announceTargets() []string {
-	known := map[string]bool{}
-	for _, seed := range s.config.Founding.Seeds() {
-		known[seed] = true
+	addresses := map[string]bool{}
+	for _, seed := range s.config.Discovery.Seeds() {
+		addresses[seed] = true
 	}
-	for _, instance := range s.voterInstances() {
-		known[instance] = true
+	for _, address := range s.voterInstances() {
+		addresses[address] = true
 	}
-	for instance := range s.recruits.members {
-		known[instance] = true
+	for address := range s.membership.knownInstances {
+		addresses[address] = true
 	}
-	delete(known, s.config.Instance)
-	targets := make([]string, 0, len(known))
-	for instance := range known {
-		targets = append(targets, instance)
+	delete(addresses, s.config.Instance)
+	targets := make([]string, 0, len(addresses))
+	for address := range addresses {
+		targets = append(targets, address)
 	}
 	return targets
 }
 
-func (r *recruits) learn(reply AnnounceReply) {
-	r.members = map[string]bool{}
+func (m *membership) setKnownInstances(reply AnnounceReply) {
+	m.knownInstances = map[string]bool{}
 	for _, instance := range reply.Members {
-		r.members[instance] = true
+		m.knownInstances[instance] = true
 	}
 	if reply.Leader != "" {
-		r.members[reply.Leader] = true
+		m.knownInstances[reply.Leader] = true
 	}
 }
 
-// Announce takes the request of a control instance to join the log.
+// Announce records the request of a control instance to join the log and returns the leader and the voters.
 func (s *Service) Announce(query AnnounceQuery, reply *AnnounceReply) error {
-	return s.server.await(func(done func()) {
+	return s.server.enqueueAndWait(func(done func()) {
 		defer done()
-		s.server.recruits.candidates[query.Node] = s.server.config.Now()
+		s.server.membership.joinRequests[query.Node] = s.server.config.Now()
 		reply.Leader = instanceOf(s.server.core.Leader())
 		reply.Members = s.server.voterInstances()
 	})
--- a/pkg/controller/server.go
+++ b/pkg/controller/server.go
@@ -1,8 +1,3 @@
-// Server runs one control instance. All of its state belongs to the loop
-// goroutine; calls hand it functions and wait for their result. The loop
-// takes what waits, steps the replicator, persists once, and only then sends,
-// applies and answers.
-
 package controller
 
 import (
@@ -23,22 +18,23 @@
 )
 
 const (
-	// tickInterval is how finely elections are timed; several instances in one tick split the vote.
+	// tickInterval is the resolution of election timeouts. Instances whose timeouts end in the same tick split the vote.
 	tickInterval   = 10 * time.Millisecond
 	reportInterval = 100 * time.Millisecond
-	// firstReport is the pause between reports until this instance has a list of leafs: after a loss of all instances entry
-	// instances wait for it.
-	firstReport     = 20 * time.Millisecond
-	maxInputsAtOnce = 512
-	snapshotEvery   = 1000
-	// snapshotBytes bounds the commands kept since the snapshot; a tenth of the smallest disk known, 128 MB, holds three of them.
-	snapshotBytes = 4 << 20
-	bytesInterval = time.Second
-	answerTimeout = 2 * time.Second
+	// initialReportInterval applies until this instance has a leaf roster, which arrives with the reply to a report. After a
+	// loss of all instances, entry instances wait for the roster.
+	initialReportInterval = 20 * time.Millisecond
+	maxInputBatch         = 512
+	snapshotEntries       = 1000
+	// snapshotBytes is the size of the commands since the last snapshot at which a new snapshot is taken. Three times this size
+	// fits into a tenth of the smallest known disk, 128 MB.
+	snapshotBytes   = 4 << 20
+	logSizeInterval = time.Second
+	answerTimeout   = 2 * time.Second
 )
 
-// NoteFailed is the kind of the note that the instance stopped acknowledging, since a write did not reach the disk.
-const NoteFailed = "control-failed"
+// EventFailed is the kind of the event that the instance failed and acknowledges nothing more, usually after a disk write error.
+const EventFailed = "control-failed"
 
 var errStopped = errors.New("the control instance has stopped")
 
@@ -48,77 +44,86 @@
 		Persist(writes []replicator.Write) error
 	}
 
-	// ServerConfig is what a Server needs of its instance.
+	// ServerConfig configures a Server.
 	ServerConfig struct {
-		Instance  string
-		Node      replicator.NodeID
-		Founders  []replicator.NodeID
+		// Instance is the name of the control instance, which is its address where Founding is set.
+		Instance string
+		Node     replicator.NodeID
+		// InitialVoters are the voters of a log without a saved configuration.
+		InitialVoters []replicator.NodeID
+		// Addresses maps the names of control instances to addresses. A name without an entry is used as the address where
+		// Founding is set.
 		Addresses map[string]string
 		Linker    *linker.Linker
 		Store     Store
-		Saved     replicator.Saved
-		Now       func() time.Duration
-		Random    *rand.Rand
-		Timeline  *timeliner.Timeline
-		// Board holds the list of leafs; nil where the instance has none to hand on.
+		// Saved is the replicator state read from disk.
+		Saved replicator.Saved
+		// Now returns the time of a monotonic clock.
+		Now      func() time.Duration
+		Random   *rand.Rand
+		Timeline *timeliner.Timeline
+		// Board holds the leaf roster. It is nil if this instance does not distribute one.
 		Board *lister.RosterStore
-		// Founding tells how control instances find each other; nil where the settings list them.
-		Founding *Founding
-		// Renewal is the pause between renewals that entry instances are told to keep; 0 leaves it to them.
-		Renewal time.Duration
-		// Note takes each change of what the instance believes, as kind, peer and text; nil drops it.
-		Note func(kind, peer, text string)
+		// Discovery describes how to find the other control instances. It is nil if the settings list the control instances.
+		Discovery *Discovery
+		// RenewalInterval is the time between renewals that entry instances are told to use. If 0, they use their default.
+		RenewalInterval time.Duration
+		// OnEvent receives events: role changes, membership changes and failure. It may be nil.
+		OnEvent func(kind, peer, text string)
 	}
 
-	// Server is one control instance.
+	// Server is a control instance. Its state belongs to the loop goroutine. Other goroutines enqueue functions for the loop
+	// and wait for the results. In each iteration the loop runs the queued functions, which step the replicator, persists all
+	// writes at once, and only then sends messages, applies committed entries and answers.
 	Server struct {
-		config   ServerConfig
-		core     *replicator.Core
-		machine  *tabulator.Machine
-		applied  uint64
-		inputs   chan func()
-		stop     chan struct{}
-		group    conc.WaitGroup
-		outboxes map[replicator.NodeID]*outbox
-		reports  map[string]*peer
-		pending  replicator.Output
-		waiters  map[uint64]proposal
-		confirms confirmQueue
-		sessions *sessions
-		lastTag  uint64
-		role     replicator.Role
-		failed   error
-		recruits recruits
-		sizedAt  time.Duration
-		// standing is the term in which this instance leads, 0 where it does not.
-		standing atomic.Uint64
-	}
-
-	// proposal waits for the entry of a command to be applied.
+		config       ServerConfig
+		core         *replicator.Core
+		machine      *tabulator.Machine
+		appliedIndex uint64
+		inputs       chan func()
+		stop         chan struct{}
+		group        conc.WaitGroup
+		outboxes     map[replicator.NodeID]*outbox
+		peers        map[string]*peer
+		pending      replicator.Output
+		waiters      map[uint64]proposal
+		confirms     confirmQueue
+		sessions     *sessions
+		lastTag      uint64
+		role         replicator.Role
+		failed       error
+		membership   membership
+		logSizedAt   time.Duration
+		// leaderTerm is the current term if this instance is the leader and has committed an entry in the term, else 0.
+		leaderTerm atomic.Uint64
+	}
+
+	// proposal is a caller that waits until its log entry is applied.
 	proposal struct {
 		term uint64
 		done chan ProposeReply
 	}
 )
 
-// NewServer returns a control instance that continues from config.Saved; Run starts it.
+// NewServer returns a control instance that continues from config.Saved, or an error if the saved state is invalid. Run starts
+// it.
 func NewServer(config ServerConfig) (*Server, error) {
 	saved := config.Saved
 	if saved.Snapshot.Index == 0 && len(saved.Snapshot.Config.Voters) == 0 {
-		saved.Snapshot.Config = replicator.Config{Voters: config.Founders}
+		saved.Snapshot.Config = replicator.Config{Voters: config.InitialVoters}
 	}
 	core, err := replicator.New(config.Node, saved, config.Now(), config.Random)
 	if err != nil {
 		return nil, err
 	}
 	server := &Server{
-		config: config, core: core, machine: tabulator.NewMachine(), applied: saved.Snapshot.Index,
-		inputs: make(chan func(), maxInputsAtOnce), stop: make(chan struct{}), outboxes: map[replicator.NodeID]*outbox{},
-		reports: map[string]*peer{}, waiters: map[uint64]proposal{},
-		sessions: newSessions(config.Instance, config.Now()), recruits: newRecruits(config.Founding),
+		config: config, core: core, machine: tabulator.NewMachine(), appliedIndex: saved.Snapshot.Index,
+		inputs: make(chan func(), maxInputBatch), stop: make(chan struct{}), outboxes: map[replicator.NodeID]*outbox{},
+		peers: map[string]*peer{}, waiters: map[uint64]proposal{},
+		sessions: newSessions(config.Instance, config.Now()), membership: newMembership(config.Discovery),
 	}
-	if server.config.Note == nil {
-		server.config.Note = func(string, string, string) {}
+	if server.config.OnEvent == nil {
+		server.config.OnEvent = func(string, string, string) {}
 	}
 	if len(saved.Snapshot.Data) > 0 {
 		if server.machine, err = tabulator.Restore(saved.Snapshot.Data); err != nil {
@@ -128,16 +133,16 @@
 	return server, nil
 }
 
-// Run starts the instance.
+// Run starts the goroutines of the instance.
 func (s *Server) Run() {
 	s.group.Go(s.loop)
 	s.group.Go(s.reportLoop)
-	if s.config.Founding != nil {
+	if s.config.Discovery != nil {
 		s.group.Go(s.announceLoop)
 	}
 }
 
-// Close stops the instance.
+// Close stops the instance and waits for its goroutines.
 func (s *Server) Close() {
 	close(s.stop)
 	s.group.Wait()
@@ -150,7 +155,7 @@
 		for _, o := range s.outboxes {
 			o.close()
 		}
-		for _, p := range s.reports {
+		for _, p := range s.peers {
 			p.close()
 		}
 	}()
@@ -162,16 +167,16 @@
 			input()
 		case <-ticker.C:
 			s.step(replicator.Tick{})
-			s.confirms.ask(s)
-			s.sessions.tickIfDue(s)
-			s.recruits.tickIfDue(s)
+			s.confirms.requestConfirm(s)
+			s.sessions.removeExpiredIfDue(s)
+			s.membership.changeIfDue(s)
 		}
-		s.drainInputs()
+		s.runQueuedInputs()
 		s.flushAll()
 	}
 }
 
-// flushAll flushes until the steps that a flush causes are flushed as well.
+// flushAll flushes repeatedly, because a flush may step the replicator and produce more output.
 func (s *Server) flushAll() {
 	s.flush()
 	for s.failed == nil && s.hasPending() {
@@ -184,8 +189,8 @@
 	return len(p.Writes)+len(p.Messages)+len(p.Committed)+len(p.Confirmed) > 0
 }
 
-func (s *Server) drainInputs() {
-	for range maxInputsAtOnce {
+func (s *Server) runQueuedInputs() {
+	for range maxInputBatch {
 		select {
 		case input := <-s.inputs:
 			input()
@@ -195,8 +200,8 @@
 	}
 }
 
-// do runs work in the loop goroutine.
-func (s *Server) do(work func()) error {
+// enqueue queues work for the loop goroutine without waiting for it to run. It returns errStopped after Close.
+func (s *Server) enqueue(work func()) error {
 	select {
 	case s.inputs <- work:
 		return nil
@@ -221,7 +226,7 @@
 	}
 }
 
-// flush persists before anything else leaves the instance.
+// flush persists the pending writes before it sends messages, applies entries or answers reads.
 func (s *Server) flush() {
 	pending := s.pending
 	s.pending = replicator.Output{}
@@ -246,17 +251,17 @@
 	for _, confirmed := range pending.Confirmed {
 		s.confirms.onConfirmed(s, confirmed)
 	}
-	s.confirms.onApplied(s.applied)
-	s.noteRole()
+	s.confirms.onApplied(s.appliedIndex)
+	s.updateRole()
 	s.compact()
 }
 
-// fail stops all acknowledgement after a write that did not reach the disk.
+// fail stops the instance from acknowledging anything, after a failed disk write or an entry or snapshot that cannot be decoded.
 func (s *Server) fail(err error) {
 	s.failed = err
 	s.config.Timeline.Add("control-failed", s.config.Instance, err.Error())
-	s.standing.Store(0)
-	s.config.Note(NoteFailed, s.config.Instance, err.Error())
+	s.leaderTerm.Store(0)
+	s.config.OnEvent(EventFailed, s.config.Instance, err.Error())
 	for index, waiter := range s.waiters {
 		waiter.done <- ProposeReply{Unknown: true}
 		delete(s.waiters, index)
@@ -284,12 +289,12 @@
 		return
 	}
 	s.machine = machine
-	s.applied = snapshot.Index
+	s.appliedIndex = snapshot.Index
 	s.config.Timeline.Add("snapshot-installed", s.config.Instance, "the table was taken over from the leader")
 }
 
 func (s *Server) apply(entry replicator.Entry) {
-	s.applied = entry.Index
+	s.appliedIndex = entry.Index
 	var result tabulator.Result
 	if entry.Kind == replicator.EntryCommand {
 		command, err := tabulator.Decode(entry.Data)
@@ -297,9 +302,9 @@
 			s.fail(err)
 			return
 		}
-		before := s.machine.TableRevision()
+		oldRevision := s.machine.TableRevision()
 		result = s.machine.Apply(command)
-		if s.machine.TableRevision() != before {
+		if s.machine.TableRevision() != oldRevision {
 			s.sessions.onTableChange(result.Revision, s.config.Now())
 		}
 	}
@@ -316,51 +321,53 @@
 }
 
 func (s *Server) compact() {
-	if s.failed != nil || !s.snapshotDue() {
+	if s.failed != nil || !s.isSnapshotDue() {
 		return
 	}
 	data, err := s.machine.Snapshot()
 	if err != nil {
 		return
 	}
-	s.step(replicator.Compact{Index: s.applied, Data: data})
+	s.step(replicator.Compact{Index: s.appliedIndex, Data: data})
 }
 
-// snapshotDue looks at the bytes of the log only now and then, since that walks the log.
-func (s *Server) snapshotDue() bool {
-	if s.core.LogLength() >= snapshotEvery {
+// isSnapshotDue reports whether the log is long or large enough for a snapshot. It checks the size only every logSizeInterval,
+// because computing it walks the log.
+func (s *Server) isSnapshotDue() bool {
+	if s.core.LogLength() >= snapshotEntries {
 		return true
 	}
 	now := s.config.Now()
-	if now-s.sizedAt < bytesInterval {
+	if now-s.logSizedAt < logSizeInterval {
 		return false
 	}
-	s.sizedAt = now
+	s.logSizedAt = now
 	return s.core.LogBytes() >= snapshotBytes
 }
 
-// Standing returns the term in which this instance leads, and whether it does.
-func (s *Server) Standing() (term uint64, leads bool) {
-	term = s.standing.Load()
+// LeaderTerm returns the current term and true if this instance is the leader and has committed an entry in the term. Otherwise
+// it returns 0 and false.
+func (s *Server) LeaderTerm() (term uint64, isLeader bool) {
+	term = s.leaderTerm.Load()
 	return term, term != 0
 }
 
-// Document returns the routing document; fresh is false where no majority confirmed that it is the newest.
-func (s *Server) Document() (document tabulator.Document, fresh bool) {
-	err := s.read(func(ok bool) {
-		fresh = ok
+// Document returns the routing document. isFresh is false if no majority confirmed that it is the newest.
+func (s *Server) Document() (document tabulator.Document, isFresh bool) {
+	err := s.linearizableRead(func(ok bool) {
+		isFresh = ok
 		document = s.machine.Document()
 	})
-	return document, fresh && err == nil
+	return document, isFresh && err == nil
 }
 
-// Propose puts a command into the log, through the leader, and waits until it is applied.
+// Propose proposes a command, through the leader, and waits until it is applied.
 func (s *Server) Propose(command tabulator.Command) ProposeReply { return s.propose(command) }
 
-func (s *Server) noteRole() {
-	s.standing.Store(0)
+func (s *Server) updateRole() {
+	s.leaderTerm.Store(0)
 	if s.core.Leading() {
-		s.standing.Store(s.core.Term())
+		s.leaderTerm.Store(s.core.Term())
 	}
 	role := s.core.Role()
 	if role == s.role {
@@ -369,11 +376,11 @@
 	s.role = role
 	s.sessions.onRole(role == replicator.RoleLeader, s.config.Now())
 	s.config.Timeline.Add("control-role", s.config.Instance, string(role))
-	s.config.Note("control-role", s.config.Instance, fmt.Sprintf("%s in term %d", role, s.core.Term()))
+	s.config.OnEvent("control-role", s.config.Instance, fmt.Sprintf("%s in term %d", role, s.core.Term()))
 }
 
-func (s *Server) peerOf(instance string) (*peer, bool) {
-	if p, ok := s.reports[instance]; ok {
+func (s *Server) peerFor(instance string) (*peer, bool) {
+	if p, ok := s.peers[instance]; ok {
 		return p, true
 	}
 	address, ok := s.addressOf(instance)
@@ -381,16 +388,16 @@
 		return nil, false
 	}
 	p := newPeer(s.config.Linker, address)
-	s.reports[instance] = p
+	s.peers[instance] = p
 	return p, true
 }
 
-// addressOf returns the address of a control instance; where none is listed, instances are named by their address.
+// addressOf returns the address of a control instance. Instances found by discovery are named by their address.
 func (s *Server) addressOf(instance string) (string, bool) {
 	if address, ok := s.config.Addresses[instance]; ok {
 		return address, true
 	}
-	return instance, s.config.Founding != nil && instance != ""
+	return instance, s.config.Discovery != nil && instance != ""
 }
 
 func instanceOf(node replicator.NodeID) string {
--- a/pkg/controller/sessions.go
+++ b/pkg/controller/sessions.go
@@ -1,7 +1,3 @@
-// Sessions are the leases that this control instance grants. The leader also
-// keeps what the others report of theirs. A lease is taken to be held until
-// the grant, the lease length and the drift margin have passed.
-
 package controller
 
 import (
@@ -14,173 +10,179 @@
 )
 
 const (
-	keptTableChanges = 1024
-	sessionInterval  = 200 * time.Millisecond
+	maxTableChanges = 1024
+	expiryInterval  = 200 * time.Millisecond
 )
 
 type (
+	// sessions holds the leases granted by this control instance and, on the leader, the reports of the other control
+	// instances about theirs. A lease counts as held until the lease length and the clock drift margin have passed since the
+	// grant (assigner.GrantEnd).
 	sessions struct {
 		instance    string
 		startedAt   time.Duration
-		own         map[tabulator.MemberID]session
+		local       map[tabulator.MemberID]session
 		reports     map[string]report
 		leaderSince time.Duration
-		leading     bool
-		changedAt   map[uint64]time.Duration
-		changes     []uint64
-		removing    map[tabulator.MemberID]time.Duration
-		nextTick    time.Duration
-		// told is how many requests all entry instances had, by the leader's last word.
-		told int
+		isLeader    bool
+		// changedAt is the time at which each table revision was applied here.
+		changedAt        map[uint64]time.Duration
+		changedRevisions []uint64
+		// retryRemovalAt is the time from which the removal of a member may be proposed again.
+		retryRemovalAt map[tabulator.MemberID]time.Duration
+		nextCheck      time.Duration
+		// leaderTotal is the request count of all entry instances as last sent by the leader.
+		leaderTotal int
 	}
 
 	session struct {
 		grantedAt time.Duration
-		have      uint64
-		// requests is how many requests the entry instance had in its last window.
+		// revision is the revision of the view that the entry instance acts on.
+		revision uint64
+		// requests is the number of requests of the entry instance in its last window.
 		requests int
 	}
 
 	report struct {
-		at       time.Duration
-		sessions map[uint64]int
-		requests int
+		lastContact        time.Duration
+		sessionsByRevision map[uint64]int
+		requests           int
 	}
 )
 
 func newSessions(instance string, now time.Duration) *sessions {
 	return &sessions{
-		instance: instance, startedAt: now, own: map[tabulator.MemberID]session{}, reports: map[string]report{},
-		changedAt: map[uint64]time.Duration{}, removing: map[tabulator.MemberID]time.Duration{},
+		instance: instance, startedAt: now, local: map[tabulator.MemberID]session{}, reports: map[string]report{},
+		changedAt: map[uint64]time.Duration{}, retryRemovalAt: map[tabulator.MemberID]time.Duration{},
 	}
 }
 
-func (s *sessions) onGrant(id tabulator.MemberID, have uint64, requests int, now time.Duration) {
-	s.own[id] = session{grantedAt: now, have: have, requests: requests}
+func (s *sessions) onGrant(id tabulator.MemberID, revision uint64, requests int, now time.Duration) {
+	s.local[id] = session{grantedAt: now, revision: revision, requests: requests}
 }
 
-func (s *sessions) onRole(leading bool, now time.Duration) {
-	s.leading = leading
+func (s *sessions) onRole(isLeader bool, now time.Duration) {
+	s.isLeader = isLeader
 	s.leaderSince = now
 	s.reports = map[string]report{}
 }
 
 func (s *sessions) onTableChange(revision uint64, now time.Duration) {
 	s.changedAt[revision] = now
-	s.changes = append(s.changes, revision)
-	if len(s.changes) > keptTableChanges {
-		delete(s.changedAt, s.changes[0])
-		s.changes = s.changes[1:]
+	s.changedRevisions = append(s.changedRevisions, revision)
+	if len(s.changedRevisions) > maxTableChanges {
+		delete(s.changedAt, s.changedRevisions[0])
+		s.changedRevisions = s.changedRevisions[1:]
 	}
 }
 
 func (s *sessions) onReport(query ReportQuery, now time.Duration) {
-	s.reports[query.From] = report{at: now, sessions: query.Sessions, requests: query.Requests}
+	s.reports[query.From] = report{lastContact: now, sessionsByRevision: query.Sessions, requests: query.Requests}
 }
 
-// heard notes a sign of life of a control instance.
-func (s *sessions) heard(from string, now time.Duration) {
+// recordContact records the time of a message from a control instance.
+func (s *sessions) recordContact(from string, now time.Duration) {
 	r := s.reports[from]
-	r.at = now
+	r.lastContact = now
 	s.reports[from] = r
 }
 
-func (s *sessions) counts(now time.Duration) map[uint64]int {
+func (s *sessions) countByRevision(now time.Duration) map[uint64]int {
 	counts := map[uint64]int{}
-	for _, held := range s.own {
-		if now < assigner.GrantEnd(held.grantedAt) {
-			counts[held.have]++
+	for _, lease := range s.local {
+		if now < assigner.GrantEnd(lease.grantedAt) {
+			counts[lease.revision]++
 		}
 	}
 	return counts
 }
 
-// tickIfDue looks at the leases a few times a second, since the look costs time for each member.
-func (s *sessions) tickIfDue(server *Server) {
+// removeExpiredIfDue calls removeExpired at most every expiryInterval, because its cost grows with the number of members.
+func (s *sessions) removeExpiredIfDue(server *Server) {
 	now := server.config.Now()
-	if now < s.nextTick {
+	if now < s.nextCheck {
 		return
 	}
-	s.nextTick = now + sessionInterval
-	s.tick(server)
+	s.nextCheck = now + expiryInterval
+	s.removeExpired(server)
 }
 
-// tick proposes the removal of members whose lease has surely run out.
-func (s *sessions) tick(server *Server) {
+// removeExpired proposes the removal of members whose lease has certainly expired, and deletes old sessions.
+func (s *sessions) removeExpired(server *Server) {
 	now := server.config.Now()
 	for _, member := range server.machine.MembersUnordered() {
 		id := tabulator.MemberID{Instance: member.Instance, Incarnation: member.Incarnation}
-		if !s.hasRunOut(id, member.Via, now) || now < s.removing[id] {
+		if !s.isExpired(id, member.Via, now) || now < s.retryRemovalAt[id] {
 			continue
 		}
-		s.removing[id] = now + assigner.LeaseLength
+		s.retryRemovalAt[id] = now + assigner.LeaseLength
 		server.config.Timeline.Add("lease-expired", member.Instance, "no renewal through "+member.Via)
 		command := tabulator.Remove{Instance: id.Instance, Incarnation: id.Incarnation, Via: member.Via, Reason: tabulator.RemovedExpired}
 		server.group.Go(func() { _ = server.propose(command) })
 	}
-	for id, held := range s.own {
-		if now > 2*assigner.GrantEnd(held.grantedAt)-held.grantedAt {
-			delete(s.own, id)
-			delete(s.removing, id)
+	for id, lease := range s.local {
+		if now > 2*assigner.GrantEnd(lease.grantedAt)-lease.grantedAt {
+			delete(s.local, id)
+			delete(s.retryRemovalAt, id)
 		}
 	}
 }
 
-func (s *sessions) hasRunOut(id tabulator.MemberID, via string, now time.Duration) bool {
+func (s *sessions) isExpired(id tabulator.MemberID, via string, now time.Duration) bool {
 	if via == s.instance {
-		granted := max(s.startedAt, s.own[id].grantedAt)
-		return now > assigner.GrantEnd(granted)
+		lastGrant := max(s.startedAt, s.local[id].grantedAt)
+		return now > assigner.GrantEnd(lastGrant)
 	}
-	if !s.leading {
+	if !s.isLeader {
 		return false
 	}
-	heard := max(s.leaderSince, s.reports[via].at)
-	return now > assigner.GrantEnd(heard)
+	lastContact := max(s.leaderSince, s.reports[via].lastContact)
+	return now > assigner.GrantEnd(lastContact)
 }
 
-// inForce counts the sessions that act on the revision.
-func (s *sessions) inForce(machine *tabulator.Machine, revision uint64, now time.Duration) InForceReply {
+// countInForce counts the sessions that act on a view of at least the revision.
+func (s *sessions) countInForce(machine *tabulator.Machine, revision uint64, now time.Duration) InForceReply {
 	reply := InForceReply{Members: len(machine.MembersUnordered())}
-	for have, count := range s.counts(now) {
-		if have >= revision {
+	for current, count := range s.countByRevision(now) {
+		if current >= revision {
 			reply.Acting += count
 		}
 	}
 	for from, r := range s.reports {
-		if from == s.instance || now > assigner.GrantEnd(r.at) {
+		if from == s.instance || now > assigner.GrantEnd(r.lastContact) {
 			continue
 		}
-		for have, count := range r.sessions {
-			if have >= revision {
+		for current, count := range r.sessionsByRevision {
+			if current >= revision {
 				reply.Acting += count
 			}
 		}
 	}
 	reply.Acting = min(reply.Acting, reply.Members)
-	changed, known := s.changedAt[revision]
-	if !known {
-		changed = s.leaderSince
+	changedAt, isKnown := s.changedAt[revision]
+	if !isKnown {
+		changedAt = s.leaderSince
 	}
-	reply.After = now - changed
-	reply.Everywhere = reply.Acting >= reply.Members || now > assigner.GrantEnd(changed)
+	reply.After = now - changedAt
+	reply.Everywhere = reply.Acting >= reply.Members || now > assigner.GrantEnd(changedAt)
 	return reply
 }
 
-// reportLoop tells the leader which revisions the sessions of this instance act on.
+// reportLoop periodically reports to the leader which revisions the sessions of this instance act on.
 func (s *Server) reportLoop() {
 	for {
 		select {
 		case <-s.stop:
 			return
-		case <-time.After(s.reportPause()):
+		case <-time.After(s.nextReportInterval()):
 			s.report()
 		}
 	}
 }
 
-func (s *Server) reportPause() time.Duration {
+func (s *Server) nextReportInterval() time.Duration {
 	if s.config.Board != nil && s.config.Board.Stamp() == (lister.RosterStamp{}) {
-		return firstReport
+		return initialReportInterval
 	}
 	return reportInterval
 }
@@ -190,33 +192,33 @@
 		peer  *peer
 		query ReportQuery
 	}
-	found := make(chan target, 1)
-	err := s.do(func() {
+	targets := make(chan target, 1)
+	err := s.enqueue(func() {
 		leader := instanceOf(s.core.Leader())
-		if p, ok := s.peerOf(leader); ok && leader != s.config.Instance {
+		if p, ok := s.peerFor(leader); ok && leader != s.config.Instance {
 			now := s.config.Now()
-			query := ReportQuery{From: s.config.Instance, Sessions: s.sessions.counts(now), Requests: s.sessions.requests(now)}
+			query := ReportQuery{From: s.config.Instance, Sessions: s.sessions.countByRevision(now), Requests: s.sessions.countRequests(now)}
 			if s.config.Board != nil {
 				query.Roster = s.config.Board.Stamp()
 			}
-			found <- target{peer: p, query: query}
+			targets <- target{peer: p, query: query}
 			return
 		}
-		found <- target{}
+		targets <- target{}
 	})
 	if err != nil {
 		return
 	}
 	select {
-	case t := <-found:
+	case t := <-targets:
 		if t.peer == nil {
 			return
 		}
 		var reply ReportReply
-		if err := t.peer.call("Report", t.query, &reply, reachTimeout); err != nil {
+		if err := t.peer.call("Report", t.query, &reply, peerCallTimeout); err != nil {
 			return
 		}
-		if err := s.takeRequests(reply.Requests); err != nil {
+		if err := s.setTotalRequests(reply.Requests); err != nil {
 			// The instance has stopped.
 			return
 		}
@@ -228,4 +230,4 @@
 	}
 }
 
-func (s *Server) leading() bool { return s.core.Role() == replicator.RoleLeader }
+func (s *Server) isLeader() bool { return s.core.Role() == replicator.RoleLeader }
--- a/pkg/controller/size_test.go
+++ b/pkg/controller/size_test.go
@@ -11,8 +11,8 @@
 	"lovagedeck/pkg/timeliner"
 )
 
-// streamBytes returns the size of a message on a connection that has carried its type before.
-func streamBytes(b *testing.B, message any) int {
+// gobStreamSize returns the size in bytes of a message on a gob stream that has already transmitted its type.
+func gobStreamSize(b *testing.B, message any) int {
 	b.Helper()
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
@@ -25,7 +25,7 @@
 	return buffer.Len()
 }
 
-func machineOf(members, rows int) *tabulator.Machine {
+func newTestMachine(members, rows int) *tabulator.Machine {
 	machine := tabulator.NewMachine()
 	change := tabulator.ChangeRows{ChangeID: "rows"}
 	for i := range rows {
@@ -36,48 +36,49 @@
 	}
 	machine.Apply(change)
 	for i := range members {
-		machine.Apply(tabulator.Join{Member: member(i)})
+		machine.Apply(tabulator.Join{Member: testMember(i)})
 	}
 	return machine
 }
 
-func member(i int) tabulator.MemberFields {
+func testMember(i int) tabulator.MemberFields {
 	return tabulator.MemberFields{
 		Instance: fmt.Sprintf("entry-%04d", i), Incarnation: uint64(time.Hour) + uint64(i), DataCentre: fmt.Sprintf("dc-%d", i%7),
 		FellowAddress: "10.100.200.30:8201", OperatorAddress: "10.100.200.30:8301", Via: "control-1",
 	}
 }
 
-// BenchmarkRenewal reports the bytes of one renewal: without news, after one join and after one changed row.
+// BenchmarkRenewal reports the bytes of one renewal without changes, the additional bytes of one join, and the bytes of a reply
+// with the full view.
 func BenchmarkRenewal(b *testing.B) {
 	for _, members := range []int{25, 250, 2500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			machine := machineOf(members, 1000)
-			query := RenewQuery{Member: member(1), Have: machine.Revision(), Stamp: timeliner.Stamp{Micros: 1 << 50}}
-			quiet := RenewReply{Granted: true, Delta: machine.Delta(machine.Revision())}
+			machine := newTestMachine(members, 1000)
+			query := RenewQuery{Member: testMember(1), Have: machine.Revision(), Stamp: timeliner.Stamp{Micros: 1 << 50}}
+			unchanged := RenewReply{Granted: true, Delta: machine.Delta(machine.Revision())}
 			before := machine.Revision()
-			machine.Apply(tabulator.Join{Member: member(members)})
+			machine.Apply(tabulator.Join{Member: testMember(members)})
 			join := RenewReply{Granted: true, Delta: machine.Delta(before)}
-			whole := RenewReply{Granted: true, Delta: machine.Delta(0)}
+			full := RenewReply{Granted: true, Delta: machine.Delta(0)}
 			for b.Loop() {
 				machine.Delta(before)
 			}
-			b.ReportMetric(float64(streamBytes(b, query)+streamBytes(b, quiet)), "quiet-bytes")
-			b.ReportMetric(float64(streamBytes(b, join)-streamBytes(b, quiet)), "join-bytes")
-			b.ReportMetric(float64(streamBytes(b, whole)), "whole-bytes")
+			b.ReportMetric(float64(gobStreamSize(b, query)+gobStreamSize(b, unchanged)), "quiet-bytes")
+			b.ReportMetric(float64(gobStreamSize(b, join)-gobStreamSize(b, unchanged)), "join-bytes")
+			b.ReportMetric(float64(gobStreamSize(b, full)), "whole-bytes")
 		})
 	}
 }
 
-// BenchmarkApply reports the time to apply one join and the size of a snapshot.
+// BenchmarkApply measures the time to apply one join and reports the size of a snapshot in bytes.
 func BenchmarkApply(b *testing.B) {
 	for _, members := range []int{25, 250, 2500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			machine := machineOf(members, 1000)
+			machine := newTestMachine(members, 1000)
 			i := uint64(0)
 			for b.Loop() {
 				i++
-				fields := member(1)
+				fields := testMember(1)
 				fields.Incarnation += i
 				machine.Apply(tabulator.Join{Member: fields})
 			}
@@ -90,16 +91,16 @@
 	}
 }
 
-// BenchmarkView reports the time in which an entry instance applies the delta of one join.
+// BenchmarkView measures the time for an entry instance to apply the delta of one join.
 func BenchmarkView(b *testing.B) {
 	for _, members := range []int{25, 250, 2500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			machine := machineOf(members, 1000)
+			machine := newTestMachine(members, 1000)
 			view, err := tabulator.NewView().Apply(machine.Delta(0))
 			if err != nil {
 				b.Fatal(err)
 			}
-			machine.Apply(tabulator.Join{Member: member(members)})
+			machine.Apply(tabulator.Join{Member: testMember(members)})
 			delta := machine.Delta(view.Revision())
 			for b.Loop() {
 				if _, err := view.Apply(delta); err != nil {
@@ -110,18 +111,18 @@
 	}
 }
 
-// BenchmarkSessions reports the time of one tick of a control instance.
+// BenchmarkSessions measures the time of one check for expired sessions.
 func BenchmarkSessions(b *testing.B) {
 	for _, members := range []int{25, 250, 2500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			server := &Server{machine: machineOf(members, 0), config: ServerConfig{Now: func() time.Duration { return time.Second }}}
+			server := &Server{machine: newTestMachine(members, 0), config: ServerConfig{Now: func() time.Duration { return time.Second }}}
 			s := newSessions("control-1", time.Second)
 			for i := range members {
-				fields := member(i)
+				fields := testMember(i)
 				s.onGrant(tabulator.MemberID{Instance: fields.Instance, Incarnation: fields.Incarnation}, 1, 0, time.Second)
 			}
 			for b.Loop() {
-				s.tick(server)
+				s.removeExpired(server)
 			}
 		})
 	}
--- a/pkg/controller/tier_test.go
+++ b/pkg/controller/tier_test.go
@@ -1,6 +1,3 @@
-// The tests run real control instances on real files, under the clock of a
-// synctest bubble and a network in memory that cuts instances off silently.
-
 package controller
 
 import (
@@ -24,10 +21,11 @@
 const testCluster = "test"
 
 type (
+	// memoryNetwork connects instances by pipes. Connections of an isolated instance stay open but carry no data.
 	memoryNetwork struct {
-		mu        sync.Mutex
-		listeners map[string]*memoryListener
-		isolated  map[string]bool
+		mu            sync.Mutex
+		listeners     map[string]*memoryListener
+		isolatedNames map[string]bool
 	}
 
 	memoryListener struct {
@@ -42,26 +40,27 @@
 		from, to string
 	}
 
+	// testTier runs control instances on real files, with the clock of a synctest bubble and a network in memory.
 	testTier struct {
-		t       *testing.T
-		network *memoryNetwork
-		folder  string
-		begun   time.Time
-		names   []string
-		nodes   map[string]*testInstance
-		clients []*Client
+		t         *testing.T
+		network   *memoryNetwork
+		folder    string
+		startedAt time.Time
+		names     []string
+		instances map[string]*testInstance
+		clients   []*Client
 	}
 
 	testInstance struct {
-		folder  string
-		journal *journaler.Journaler
-		server  *Server
-		served  *linker.Server
+		folder    string
+		journal   *journaler.Journaler
+		server    *Server
+		rpcServer *linker.Server
 	}
 )
 
 func newMemoryNetwork() *memoryNetwork {
-	return &memoryNetwork{listeners: map[string]*memoryListener{}, isolated: map[string]bool{}}
+	return &memoryNetwork{listeners: map[string]*memoryListener{}, isolatedNames: map[string]bool{}}
 }
 
 func (n *memoryNetwork) listen(address string) net.Listener {
@@ -80,7 +79,7 @@
 		if listener == nil {
 			return nil, errors.Errorf("dial %s: refused", address)
 		}
-		if n.cut(from, address) {
+		if n.isCut(from, address) {
 			time.Sleep(timeout)
 			return nil, errors.Errorf("dial %s: timeout", address)
 		}
@@ -96,21 +95,21 @@
 	}
 }
 
-func (n *memoryNetwork) cut(from, to string) bool {
+func (n *memoryNetwork) isCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.isolated[from] || n.isolated[to]
+	return n.isolatedNames[from] || n.isolatedNames[to]
 }
 
-func (n *memoryNetwork) isolate(name string, isolated bool) {
+func (n *memoryNetwork) setIsolated(name string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.isolated[name] = isolated
+	n.isolatedNames[name] = isolated
 }
 
-// Write loses what is written while either end is isolated.
+// Write discards the data while either end is isolated.
 func (c *memoryConn) Write(p []byte) (int, error) {
-	if c.network.cut(c.from, c.to) {
+	if c.network.isCut(c.from, c.to) {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -134,13 +133,13 @@
 
 func newTestTier(t *testing.T, size int) *testTier {
 	t.Helper()
-	tier := &testTier{t: t, network: newMemoryNetwork(), folder: t.TempDir(), begun: time.Now(), nodes: map[string]*testInstance{}}
+	tier := &testTier{t: t, network: newMemoryNetwork(), folder: t.TempDir(), startedAt: time.Now(), instances: map[string]*testInstance{}}
 	for i := range size {
 		tier.names = append(tier.names, fmt.Sprintf("control-%d", i+1))
 	}
 	for _, name := range tier.names {
-		tier.nodes[name] = &testInstance{folder: filepath.Join(tier.folder, name)}
-		if _, err := journaler.Format(tier.nodes[name].folder, testCluster, name, true); err != nil {
+		tier.instances[name] = &testInstance{folder: filepath.Join(tier.folder, name)}
+		if _, err := journaler.Format(tier.instances[name].folder, testCluster, name, true); err != nil {
 			t.Fatal(err)
 		}
 		tier.start(name)
@@ -148,16 +147,16 @@
 	return tier
 }
 
-func (tier *testTier) now() time.Duration { return time.Since(tier.begun) }
+func (tier *testTier) now() time.Duration { return time.Since(tier.startedAt) }
 
-func (tier *testTier) linker(name string) *linker.Linker {
+func (tier *testTier) newLinker(name string) *linker.Linker {
 	return linker.New(linker.NewSecret(testCluster, []byte("key")), linker.WithDial(tier.network.dialer(name)))
 }
 
 func (tier *testTier) start(name string) {
 	tier.t.Helper()
-	node := tier.nodes[name]
-	journal, saved, err := journaler.Open(node.folder, testCluster, name)
+	instance := tier.instances[name]
+	journal, saved, err := journaler.Open(instance.folder, testCluster, name)
 	if err != nil {
 		tier.t.Fatal(err)
 	}
@@ -169,36 +168,36 @@
 			founders = append(founders, journaler.NodeID(other, journaler.FirstDisk))
 		}
 	}
-	link := tier.linker(name)
+	link := tier.newLinker(name)
 	server, err := NewServer(ServerConfig{
-		Instance: name, Node: journal.Identity().Node(), Founders: founders, Addresses: addresses, Linker: link, Store: journal,
+		Instance: name, Node: journal.Identity().Node(), InitialVoters: founders, Addresses: addresses, Linker: link, Store: journal,
 		Saved: saved, Now: tier.now, Random: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[len(name)-1]))),
 		Timeline: timeliner.New(name, time.Now),
 	})
 	if err != nil {
 		tier.t.Fatal(err)
 	}
-	served, err := link.Serve(tier.network.listen(name), map[string]any{"Control": NewService(server)})
+	rpcServer, err := link.Serve(tier.network.listen(name), map[string]any{"Control": NewService(server)})
 	if err != nil {
 		tier.t.Fatal(err)
 	}
 	server.Run()
-	node.journal, node.server, node.served = journal, server, served
+	instance.journal, instance.server, instance.rpcServer = journal, server, rpcServer
 }
 
-// stop ends an instance without a word to the others.
+// stop closes an instance without notifying the others.
 func (tier *testTier) stop(name string) {
 	tier.t.Helper()
-	node := tier.nodes[name]
-	if node.server == nil {
+	instance := tier.instances[name]
+	if instance.server == nil {
 		return
 	}
-	node.server.Close()
-	node.served.Close()
-	if err := node.journal.Close(); err != nil {
+	instance.server.Close()
+	instance.rpcServer.Close()
+	if err := instance.journal.Close(); err != nil {
 		tier.t.Error(err)
 	}
-	node.server = nil
+	instance.server = nil
 }
 
 func (tier *testTier) close() {
@@ -208,17 +207,17 @@
 	for _, name := range tier.names {
 		tier.stop(name)
 	}
-	// Calls under way end with their time-outs.
+	// Wait for the timeouts of calls in progress.
 	time.Sleep(time.Minute)
 }
 
-// loseDisk replaces the folder of a stopped instance by a fresh one and returns its new node.
-func (tier *testTier) loseDisk(name string) replicator.NodeID {
+// replaceDisk stops an instance, restarts it with an empty data folder and returns its new node identifier.
+func (tier *testTier) replaceDisk(name string) replicator.NodeID {
 	tier.t.Helper()
 	tier.stop(name)
-	node := tier.nodes[name]
-	node.folder += "-new"
-	identity, err := journaler.Format(node.folder, testCluster, name, false)
+	instance := tier.instances[name]
+	instance.folder += "-new"
+	identity, err := journaler.Format(instance.folder, testCluster, name, false)
 	if err != nil {
 		tier.t.Fatal(err)
 	}
@@ -226,31 +225,31 @@
 	return identity.Node()
 }
 
-// repair makes a fresh node a voter and removes the lost one.
-func (tier *testTier) repair(client *Client, fresh, lost replicator.NodeID) {
+// replaceVoter makes newNode a voter and removes oldNode.
+func (tier *testTier) replaceVoter(client *Client, newNode, oldNode replicator.NodeID) {
 	tier.t.Helper()
-	tier.until("the fresh node follows", func() bool {
-		reply, err := client.Configure(ActionAddLearner, fresh)
+	tier.waitUntil("new node added as learner", func() bool {
+		reply, err := client.Configure(ActionAddLearner, newNode)
 		return err == nil && reply.Refused == "" && !reply.Unknown
 	})
-	tier.until("the fresh node votes", func() bool {
-		reply, err := client.Configure(ActionPromote, fresh)
+	tier.waitUntil("new node promoted", func() bool {
+		reply, err := client.Configure(ActionPromote, newNode)
 		return err == nil && reply.Refused == "" && !reply.Unknown
 	})
-	tier.until("the lost node is removed", func() bool {
-		reply, err := client.Configure(ActionRemove, lost)
+	tier.waitUntil("old node removed", func() bool {
+		reply, err := client.Configure(ActionRemove, oldNode)
 		return err == nil && reply.Refused == "" && !reply.Unknown
 	})
 }
 
-// entry returns a client that holds, or tries to hold, a lease; it begins at the given control instance.
-func (tier *testTier) entry(name string, addresses ...string) *Client {
+// newEntryClient returns a running client of the given control instances, or of all if none are given.
+func (tier *testTier) newEntryClient(name string, addresses ...string) *Client {
 	if len(addresses) == 0 {
 		addresses = tier.names
 	}
 	client := NewClient(ClientConfig{
 		Member:    tabulator.MemberFields{Instance: name, Incarnation: uint64(time.Now().UnixNano()), DataCentre: "d"},
-		Addresses: addresses, Linker: tier.linker(name), Now: tier.now, Random: rand.New(rand.NewPCG(3, 4)),
+		Addresses: addresses, Linker: tier.newLinker(name), Now: tier.now, Random: rand.New(rand.NewPCG(3, 4)),
 		Timeline: timeliner.New(name, time.Now), OnView: func(*tabulator.View) {},
 	})
 	client.Run()
@@ -258,40 +257,40 @@
 	return client
 }
 
-func (tier *testTier) until(what string, done func() bool) {
+func (tier *testTier) waitUntil(condition string, isMet func() bool) {
 	tier.t.Helper()
 	for range 400 {
-		if done() {
+		if isMet() {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	tier.t.Fatalf("not within 20 s: %s", what)
+	tier.t.Fatalf("condition not met within 20 s: %s", condition)
 }
 
-func (tier *testTier) leader() string {
+func (tier *testTier) waitForLeader() string {
 	tier.t.Helper()
-	found := ""
-	tier.until("there is a leader", func() bool {
+	leader := ""
+	tier.waitUntil("leader elected", func() bool {
 		for _, name := range tier.names {
-			node := tier.nodes[name]
-			if node.server == nil || tier.network.cut(name, name) {
+			instance := tier.instances[name]
+			if instance.server == nil || tier.network.isCut(name, name) {
 				continue
 			}
 			var reply StatusReply
-			if NewService(node.server).Status(StatusQuery{}, &reply) == nil && reply.Status.Role == replicator.RoleLeader && reply.Status.Commit > 0 {
-				found = name
+			if NewService(instance.server).Status(StatusQuery{}, &reply) == nil && reply.Status.Role == replicator.RoleLeader && reply.Status.Commit > 0 {
+				leader = name
 				return true
 			}
 		}
 		return false
 	})
-	return found
+	return leader
 }
 
-func (tier *testTier) other(than string) string {
+func (tier *testTier) anyOtherThan(excluded string) string {
 	for _, name := range tier.names {
-		if name != than {
+		if name != excluded {
 			return name
 		}
 	}
@@ -304,12 +303,12 @@
 	}}}
 }
 
-// put sends a change, again while its outcome is unknown or refused, and returns its result.
-func (tier *testTier) put(client *Client, change tabulator.Command) tabulator.Result {
+// propose sends a change, repeats it while the outcome is unknown or refused, and returns the result.
+func (tier *testTier) propose(client *Client, command tabulator.Command) tabulator.Result {
 	tier.t.Helper()
 	var result tabulator.Result
-	tier.until("the change has an outcome", func() bool {
-		reply, err := client.Propose(change)
+	tier.waitUntil("change has an outcome", func() bool {
+		reply, err := client.Propose(command)
 		result = reply.Result
 		return err == nil && !reply.Unknown && reply.Refused == ""
 	})
--- a/pkg/controller/wire.go
+++ b/pkg/controller/wire.go
@@ -1,6 +1,3 @@
-// Calls between control instances, and from entry instances to them, are
-// net/rpc calls of the receiver named Control.
-
 package controller
 
 import (
@@ -13,146 +10,172 @@
 )
 
 type (
-	// StepQuery carries messages of the replicated log.
+	// StepQuery carries replicated-log messages from one control instance to another.
 	StepQuery struct {
 		Messages []replicator.Message
 		Stamp    timeliner.Stamp
 	}
 
-	// ReportQuery tells the leader which revisions the sessions of a control instance act on.
+	// ReportQuery reports the sessions of a control instance to the leader.
 	ReportQuery struct {
-		From     string
+		From string
+		// Sessions is the number of sessions by the revision that they act on.
 		Sessions map[uint64]int
-		// Requests is how many requests the sessions had in the last window.
+		// Requests is the number of requests of all sessions in the last window.
 		Requests int
-		Roster   lister.RosterStamp
+		// Roster is the stamp of the leaf roster that the sender has.
+		Roster lister.RosterStamp
 	}
 
-	// ReportReply brings the list of leafs where the leader has a newer one, tells how old its reading is, and how many
-	// requests all entry instances had in the last window.
+	// ReportReply returns the leaf roster of the leader and the total request count.
 	ReportReply struct {
-		Roster   *lister.Roster
-		Reading  lister.Reading
+		// Roster is the newer leaf roster, whole or as a delta, or nil if there is none.
+		Roster *lister.Roster
+		// Reading is the stamp of the roster of the leader and the time since the list of the platform was last read and matched it.
+		Reading lister.Reading
+		// Requests is the number of requests of all entry instances in the last window.
 		Requests int
 	}
 
-	// AnnounceQuery asks for a place in the replicated log.
+	// AnnounceQuery requests that a node join the replicated log.
 	AnnounceQuery struct {
 		Node replicator.NodeID
 	}
 
-	// AnnounceReply names the leader, as far as the asked instance knows it.
+	// AnnounceReply contains the instances of the leader and of the voters as known to the answering instance.
 	AnnounceReply struct {
 		Leader  string
 		Members []string
 	}
 
-	// RenewQuery asks for a lease until the next renewal.
+	// RenewQuery requests or renews the lease of an entry instance.
 	RenewQuery struct {
 		Member tabulator.MemberFields
-		Have   uint64
-		// Requests is how many requests the instance had in the last window.
+		// Have is the revision of the view that the instance acts on.
+		Have uint64
+		// Requests is the number of requests of the instance in the last window.
 		Requests int
-		Roster   lister.RosterStamp
-		Stamp    timeliner.Stamp
+		// Roster is the stamp of the leaf roster that the instance has.
+		Roster lister.RosterStamp
+		Stamp  timeliner.Stamp
 	}
 
-	// RenewReply grants a lease and brings the view up to date.
+	// RenewReply grants a lease and updates the view, or gives the reason for a refusal.
 	RenewReply struct {
 		Granted bool
 		Reason  string
-		Delta   tabulator.Delta
-		Roster  *lister.Roster
+		// Delta contains the changes of the view since RenewQuery.Have.
+		Delta tabulator.Delta
+		// Roster is the newer leaf roster, whole or as a delta, or nil if there is none.
+		Roster *lister.Roster
+		// Reading is the stamp of the roster of the control instance, and the time since the list of the platform was last read and matched it.
 		Reading lister.Reading
-		// Requests is how many requests all entry instances had in the last window, 0 where that is not known.
+		// Requests is the number of requests of all entry instances in the last window, or 0 if unknown.
 		Requests int
-		Control  []string
-		Renewal  time.Duration
-		Stamp    timeliner.Stamp
+		// Control lists the addresses of the control instances. If empty, the client keeps the ones it knows.
+		Control []string
+		// Renewal is the interval until the next renewal. If 0, the client keeps its own.
+		Renewal time.Duration
+		Stamp   timeliner.Stamp
 	}
 
-	// ProposeQuery asks for a command to be put into the log.
+	// ProposeQuery requests that an encoded command be committed to the log.
 	ProposeQuery struct {
-		Command   []byte
+		Command []byte
+		// Forwarded is set by a control instance that forwards the query to the leader. A forwarded query is not forwarded again.
 		Forwarded bool
 	}
 
-	// ProposeReply is the outcome of a command; Unknown means that it may still be accepted.
+	// ProposeReply is the outcome of a command.
 	ProposeReply struct {
-		Result  tabulator.Result
+		Result tabulator.Result
+		// Unknown means that the command may still be accepted.
 		Unknown bool
+		// Refused is the reason why the command was not proposed.
 		Refused string
 	}
 
-	// LookupQuery asks for the outcome of an earlier change.
+	// LookupQuery requests the recorded outcome of a change.
 	LookupQuery struct {
 		ChangeID string
 	}
 
-	// LookupReply is the recorded outcome of a change, if there is one.
+	// LookupReply is the recorded outcome of a change.
 	LookupReply struct {
-		Known  bool
+		// Known reports whether an outcome is recorded.
+		Known bool
+		// Fresh reports whether a majority confirmed that the read is up to date.
 		Fresh  bool
 		Result tabulator.Result
 	}
 
-	// InForceQuery asks how many entry instances act on a revision.
+	// InForceQuery requests the number of entry instances that act on a view of at least the revision.
 	InForceQuery struct {
 		Revision  uint64
 		Forwarded bool
 	}
 
-	// InForceReply counts the entry instances that act on a revision; Everywhere also holds once every older lease has run out.
+	// InForceReply tells how far a revision is in force.
 	InForceReply struct {
-		Acting     int
-		Members    int
+		// Acting is the number of entry instances that act on the revision or a later one.
+		Acting int
+		// Members is the number of registered entry instances.
+		Members int
+		// Everywhere reports whether no entry instance can act on an older revision: all act on it, or every lease granted before
+		// it has expired.
 		Everywhere bool
-		After      time.Duration
-		Refused    string
+		// After is the time since the leader applied the revision, or since its role last changed if it no longer has that time.
+		After time.Duration
+		// Refused is the reason why no count is given.
+		Refused string
 	}
 
-	// HistoryQuery asks for the accepted and refused changes.
+	// HistoryQuery requests the accepted and refused operator changes.
 	HistoryQuery struct{}
 
-	// HistoryReply has the changes, oldest first.
+	// HistoryReply contains the operator changes, oldest first.
 	HistoryReply struct {
+		// Fresh reports whether a majority confirmed that the read is up to date.
 		Fresh   bool
 		Entries []tabulator.HistoryEntry
 	}
 
-	// StatusQuery asks for the state of a control instance.
+	// StatusQuery requests the state of a control instance.
 	StatusQuery struct{}
 
 	// StatusReply is the state of a control instance.
 	StatusReply struct {
-		Status   replicator.Status
+		Status replicator.Status
+		// Revision is the revision of the state machine.
 		Revision uint64
+		// Sessions is the number of leases held through this instance.
 		Sessions int
-		Failed   string
+		// Failed is the error after which the instance stopped acknowledging, or empty.
+		Failed string
 	}
 
-	// ConfigQuery changes the control members by one.
+	// ConfigQuery requests that one control node be added, promoted or removed.
 	ConfigQuery struct {
 		Action    ConfigAction
 		Node      replicator.NodeID
 		Forwarded bool
 	}
 
-	// ConfigReply is the outcome of a change of the control members.
+	// ConfigReply is the outcome of a ConfigQuery.
 	ConfigReply struct {
 		Refused string
 		Unknown bool
 	}
 
-	// ConfigAction is a change of the control members.
+	// ConfigAction is the kind of a change to the control nodes.
 	ConfigAction string
 )
 
 const (
-	// ActionAddLearner adds a node that follows without a vote.
+	// ActionAddLearner adds a node as a non-voting member.
 	ActionAddLearner ConfigAction = "add-learner"
-	// ActionPromote gives a learner its vote.
+	// ActionPromote makes a learner a voter.
 	ActionPromote ConfigAction = "promote"
-	// ActionRemove removes a node.
+	// ActionRemove removes a voter or a learner.
 	ActionRemove ConfigAction = "remove"
 )
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -104,7 +104,7 @@
 		founders = nil
 	}
 	i.control, err = controller.NewServer(controller.ServerConfig{
-		Instance: i.settings.Instance, Node: journal.Identity().Node(), Founders: founders, Addresses: addresses,
+		Instance: i.settings.Instance, Node: journal.Identity().Node(), InitialVoters: founders, Addresses: addresses,
 		Linker: link, Store: journal, Saved: saved, Now: i.now, Random: i.random(3), Timeline: i.timeline,
 	})
 	return errors.Wrap(err, "start: continue the log")
--- a/pkg/steward/control.go
+++ b/pkg/steward/control.go
@@ -85,12 +85,12 @@
 	config := controller.ServerConfig{
 		Instance: settings.linkAddress(settings.Host), Node: node, Linker: c.linker, Store: c.journal, Saved: saved,
 		Now: c.now, Random: rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), xxhash.Sum64String(settings.Instance))),
-		Timeline: timeliner.New(settings.Instance, time.Now), Board: c.board, Renewal: renewal,
-		Founding: &controller.Founding{Seeds: func() []string { return c.seeds.Load().seeds() }, Voters: 2*settings.ToleratedLosses + 1},
-		Note:     c.note,
+		Timeline: timeliner.New(settings.Instance, time.Now), Board: c.board, RenewalInterval: renewal,
+		Discovery: &controller.Discovery{Seeds: func() []string { return c.seeds.Load().seeds() }, ExpectedVoters: 2*settings.ToleratedLosses + 1},
+		OnEvent:   c.note,
 	}
 	if c.journal.Identity().Disk == journaler.FirstDisk {
-		config.Founders = []replicator.NodeID{node}
+		config.InitialVoters = []replicator.NodeID{node}
 	}
 	if c.server, err = controller.NewServer(config); err != nil {
 		return nil, err
@@ -262,7 +262,7 @@
 			return
 		case <-time.After(standingInterval):
 		}
-		term, leads := c.server.Standing()
+		term, leads := c.server.LeaderTerm()
 		if !leads || term == readIn && c.now() < nextAt {
 			continue
 		}
@@ -333,7 +333,7 @@
 
 func (c *Control) note(kind, peer, text string) {
 	c.log.Info("steward: "+kind, "peer", peer, "what", text)
-	if kind == controller.NoteFailed {
+	if kind == controller.EventFailed {
 		go c.awaitDisk()
 	}
 }
--- a/pkg/steward/entry.go
+++ b/pkg/steward/entry.go
@@ -85,8 +85,8 @@
 		},
 		Addresses: settings.seeds(), Linker: linker.New(secret), Now: e.now,
 		Random: rand.New(rand.NewPCG(seed, 2)), Timeline: timeliner.New(settings.Instance, time.Now),
-		OnView: e.setView, OnRoster: e.gate.SetRoster, OnLease: e.onLease,
-		Requests: e.gate.RecentRequests, OnRequests: e.gate.SetTotalRequests,
+		OnView: e.setView, OnRoster: e.gate.SetRoster, OnLeaseChange: e.onLease,
+		CountRequests: e.gate.RecentRequests, OnTotalRequests: e.gate.SetTotalRequests,
 	})
 	listener, err := net.Listen("tcp", settings.Callers)
 	if err != nil {
@@ -123,7 +123,7 @@
 
 // Reload takes settings that changed.
 func (e *Entry) Reload(settings Settings) {
-	e.client.Suggest(settings.seeds())
+	e.client.AddAddresses(settings.seeds())
 	e.log.Info("steward: settings reloaded", "seeds", settings.seeds())
 }
 
@@ -183,7 +183,7 @@
 		return
 	}
 	e.log.Info("steward: control instances lost; serving on with the last table", "revision", e.client.View().Revision())
-	e.client.Suggest(e.settings.seeds())
+	e.client.AddAddresses(e.settings.seeds())
 }
 
 // listLoop reads the list of leafs itself while control instances hand on none that was read lately, whether they are lost
@@ -200,7 +200,7 @@
 		case <-time.After(ownListLook):
 		}
 		now := e.now()
-		handedOn, known := e.client.ListReadAt()
+		handedOn, known := e.client.RosterReadAt()
 		if !known || now-max(handedOn, readAt) < ownListAfter || now < nextAt {
 			continue
 		}
