--- a/pkg/controller/confirm_queue.go
+++ b/pkg/controller/confirm_queue.go
@@ -62,10 +62,10 @@
 	q.lastID++
 	q.inFlightID = q.lastID
 	q.inFlight, q.queued = q.queued, nil
-	s.step(replicator.Confirm{ID: q.inFlightID})
+	s.step(replicator.ReadIndex{ID: q.inFlightID})
 }
 
-func (q *confirmQueue) onConfirmed(s *Server, confirmed replicator.Confirmed) {
+func (q *confirmQueue) onConfirmed(s *Server, confirmed replicator.ReadIndexResult) {
 	if confirmed.ID != q.inFlightID {
 		return
 	}
--- a/pkg/controller/propose.go
+++ b/pkg/controller/propose.go
@@ -91,15 +91,15 @@
 }
 
 // onProposed rekeys each waiting proposal from its tag to the log index of its entry, or reports its refusal.
-func (s *Server) onProposed(results []replicator.Proposed) {
+func (s *Server) onProposed(results []replicator.ProposalResult) {
 	for _, result := range results {
 		waiter, ok := s.waiters[tagKey(result.Tag)]
 		if !ok {
 			continue
 		}
 		delete(s.waiters, tagKey(result.Tag))
-		if result.Refused != "" {
-			waiter.done <- ProposeReply{Refused: result.Refused}
+		if result.RefusalReason != "" {
+			waiter.done <- ProposeReply{Refused: result.RefusalReason}
 			continue
 		}
 		waiter.term = result.Term
--- a/pkg/controller/recruits.go
+++ b/pkg/controller/recruits.go
@@ -53,7 +53,7 @@
 		return
 	}
 	m.nextCheck = now + membershipInterval
-	if isLeading := s.core.Leading(); isLeading != m.isLeading {
+	if isLeading := s.core.IsEstablishedLeader(); isLeading != m.isLeading {
 		m.isLeading, m.leaderSince = isLeading, now
 	}
 	if !m.isLeading || m.isChanging {
@@ -142,7 +142,7 @@
 	if s.failed != nil || s.isLeader() {
 		return false
 	}
-	return !s.core.Member() || s.config.Now()-s.core.HeardAt() > leaderLossTimeout
+	return !s.core.IsMember() || s.config.Now()-s.core.LastLeaderContact() > leaderLossTimeout
 }
 
 // announceTargets returns the addresses of the seeds, of the voters and of the instances named in announce replies, except
--- a/pkg/controller/server.go
+++ b/pkg/controller/server.go
@@ -57,7 +57,7 @@
 		Linker    *linker.Linker
 		Store     Store
 		// Saved is the replicator state read from disk.
-		Saved replicator.Saved
+		Saved replicator.PersistentState
 		// Now returns the time of a monotonic clock.
 		Now      func() time.Duration
 		Random   *rand.Rand
@@ -186,7 +186,7 @@
 
 func (s *Server) hasPending() bool {
 	p := &s.pending
-	return len(p.Writes)+len(p.Messages)+len(p.Committed)+len(p.Confirmed) > 0
+	return len(p.Writes)+len(p.Messages)+len(p.Committed)+len(p.ReadIndexResults) > 0
 }
 
 func (s *Server) runQueuedInputs() {
@@ -218,8 +218,8 @@
 	s.pending.Writes = append(s.pending.Writes, out.Writes...)
 	s.pending.Messages = append(s.pending.Messages, out.Messages...)
 	s.pending.Committed = append(s.pending.Committed, out.Committed...)
-	s.pending.Confirmed = append(s.pending.Confirmed, out.Confirmed...)
-	s.onProposed(out.Proposed)
+	s.pending.ReadIndexResults = append(s.pending.ReadIndexResults, out.ReadIndexResults...)
+	s.onProposed(out.ProposalResults)
 	if out.Restore != nil {
 		s.pending.Restore = out.Restore
 		s.pending.Committed = nil
@@ -248,7 +248,7 @@
 	for _, entry := range pending.Committed {
 		s.apply(entry)
 	}
-	for _, confirmed := range pending.Confirmed {
+	for _, confirmed := range pending.ReadIndexResults {
 		s.confirms.onConfirmed(s, confirmed)
 	}
 	s.confirms.onApplied(s.appliedIndex)
@@ -366,7 +366,7 @@
 
 func (s *Server) updateRole() {
 	s.leaderTerm.Store(0)
-	if s.core.Leading() {
+	if s.core.IsEstablishedLeader() {
 		s.leaderTerm.Store(s.core.Term())
 	}
 	role := s.core.Role()
--- a/pkg/controller/service.go
+++ b/pkg/controller/service.go
@@ -80,7 +80,7 @@
 	var leader *peer
 	err := s.server.enqueueAndWait(func(done func()) {
 		defer done()
-		if s.server.core.Leading() {
+		if s.server.core.IsEstablishedLeader() {
 			*reply = s.server.sessions.countInForce(s.server.machine, query.Revision, s.server.config.Now())
 			return
 		}
--- a/pkg/controller/tier_test.go
+++ b/pkg/controller/tier_test.go
@@ -164,8 +164,8 @@
 	addresses := map[string]string{}
 	for _, other := range tier.names {
 		addresses[other] = other
-		if journal.Identity().Disk == journaler.FirstDisk {
-			founders = append(founders, journaler.NodeID(other, journaler.FirstDisk))
+		if journal.Identity().Disk == journaler.BootstrapDisk {
+			founders = append(founders, journaler.NodeID(other, journaler.BootstrapDisk))
 		}
 	}
 	link := tier.newLinker(name)
--- a/pkg/journaler/doc.go
+++ b/pkg/journaler/doc.go
@@ -1,2 +1,2 @@
-// Package journaler keeps the log and the snapshot of a control instance in its data folder.
+// Package journaler persists the replicated log and the snapshot of a control instance in its data folder.
 package journaler
--- a/pkg/journaler/folder.go
+++ b/pkg/journaler/folder.go
@@ -1,9 +1,9 @@
-// A data folder belongs to one disk identity of one instance of one cluster:
+// A data folder belongs to one cluster, one instance and one disk name. It contains:
 //
 //	identity.json  {"format":1,"cluster":"fruit-standards","instance":"control-1","disk":"8d1f..."}
-//	lock           held while a process uses the folder
-//	snapshot       checksummed snapshot
-//	log-00000007   journal of records after the snapshot
+//	lock           locked while a process uses the folder
+//	snapshot       latest snapshot, followed by its checksum
+//	log-00000007   journal of the records after the snapshot
 
 package journaler
 
@@ -30,13 +30,13 @@
 	lockFile      = "lock"
 	snapshotFile  = "snapshot"
 	logPrefix     = "log-"
-	diskBytes     = 8
-	// FirstDisk is the disk name of the instances that found a cluster.
-	FirstDisk = "first"
+	diskNameBytes = 8
+	// BootstrapDisk is the disk name of the instances with which a cluster is bootstrapped.
+	BootstrapDisk = "first"
 )
 
 type (
-	// Identity says to whom a data folder belongs.
+	// Identity identifies the cluster, the instance and the disk that a data folder belongs to.
 	Identity struct {
 		Format   int    `json:"format"`
 		Cluster  string `json:"cluster"`
@@ -44,7 +44,7 @@
 		Disk     string `json:"disk"`
 	}
 
-	// FolderError says what is wrong with a data folder and what to do.
+	// FolderError reports a data folder that cannot be used, with the faulty file, the reason and advice for the operator.
 	FolderError struct {
 		file   string
 		offset int64
@@ -57,35 +57,36 @@
 	return fmt.Sprintf("data folder: %s at offset %d: %s; %s", e.file, e.offset, e.reason, e.advice)
 }
 
-// File returns the file that is wrong.
+// File returns the path of the faulty file or folder.
 func (e *FolderError) File() string { return e.file }
 
-// Offset returns where in the file the fault lies, in bytes.
+// Offset returns the position of the fault in the file, in bytes.
 func (e *FolderError) Offset() int64 { return e.offset }
 
-// Node returns the name under which the folder takes part in the log.
+// Node returns the ID of the replicated-log member that stores its state in the folder.
 func (i Identity) Node() replicator.NodeID { return NodeID(i.Instance, i.Disk) }
 
-// NodeID returns the name of an instance with a disk.
+// NodeID returns the replicated-log member ID of an instance and its disk: "instance/disk".
 func NodeID(instance, disk string) replicator.NodeID {
 	return replicator.NodeID(instance + "/" + disk)
 }
 
-// Format makes an empty folder the data folder of an instance; first marks the founders of a cluster.
-func Format(folder, cluster, instance string, first bool) (Identity, error) {
+// Format initializes an empty or missing folder as the data folder of an instance and returns its identity.
+// The disk gets a random name, or BootstrapDisk if isBootstrap is set. A folder that contains files is a *FolderError.
+func Format(folder, cluster, instance string, isBootstrap bool) (Identity, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return Identity{}, errors.Wrap(err, "format data folder")
 	}
-	names, err := os.ReadDir(folder)
+	files, err := os.ReadDir(folder)
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "format data folder")
 	}
-	if len(names) > 0 {
-		return Identity{}, &FolderError{file: folder, reason: "the folder is not empty", advice: "move its files away first"}
+	if len(files) > 0 {
+		return Identity{}, &FolderError{file: folder, reason: "the folder is not empty", advice: "move its files elsewhere first"}
 	}
-	identity := Identity{Format: formatVersion, Cluster: cluster, Instance: instance, Disk: FirstDisk}
-	if !first {
-		if identity.Disk, err = randomDisk(); err != nil {
+	identity := Identity{Format: formatVersion, Cluster: cluster, Instance: instance, Disk: BootstrapDisk}
+	if !isBootstrap {
+		if identity.Disk, err = randomDiskName(); err != nil {
 			return Identity{}, err
 		}
 	}
@@ -93,10 +94,11 @@
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "format data folder")
 	}
-	return identity, errors.Wrap(writeFile(filepath.Join(folder, identityFile), data), "format data folder")
+	return identity, errors.Wrap(replaceFile(filepath.Join(folder, identityFile), data), "format data folder")
 }
 
-// ReadIdentity returns to whom the folder belongs.
+// ReadIdentity returns the identity stored in the folder.
+// A missing or invalid identity or another format version is a *FolderError.
 func ReadIdentity(folder string) (Identity, error) {
 	path := filepath.Join(folder, identityFile)
 	data, err := os.ReadFile(path)
@@ -111,8 +113,8 @@
 		return Identity{}, &FolderError{file: path, reason: err.Error(), advice: "restore the file or replace the disk"}
 	}
 	if identity.Format != formatVersion {
-		reason := fmt.Sprintf("format %d, this program reads format %d", identity.Format, formatVersion)
-		return Identity{}, &FolderError{file: path, reason: reason, advice: "use the version of the program that wrote it"}
+		reason := fmt.Sprintf("unsupported format %d, want format %d", identity.Format, formatVersion)
+		return Identity{}, &FolderError{file: path, reason: reason, advice: "run the program version that wrote the folder"}
 	}
 	return identity, nil
 }
@@ -123,7 +125,7 @@
 		return identity, err
 	}
 	if identity.Cluster != cluster || identity.Instance != instance {
-		reason := fmt.Sprintf("it belongs to instance %s of cluster %s", identity.Instance, identity.Cluster)
+		reason := fmt.Sprintf("the folder belongs to instance %s of cluster %s", identity.Instance, identity.Cluster)
 		return identity, &FolderError{
 			file: filepath.Join(folder, identityFile), reason: reason, advice: "correct data-folder, cluster or instance in the settings",
 		}
@@ -131,7 +133,7 @@
 	return identity, nil
 }
 
-func lock(folder string) (*os.File, error) {
+func lockFolder(folder string) (*os.File, error) {
 	path := filepath.Join(folder, lockFile)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -139,13 +141,13 @@
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = file.Close()
-		return nil, &FolderError{file: path, reason: "another process uses the folder", advice: "stop that process first"}
+		return nil, &FolderError{file: path, reason: "the folder is locked by another process", advice: "stop that process first"}
 	}
 	return file, nil
 }
 
-// writeFile replaces a file whole and syncs it and its folder.
-func writeFile(path string, data []byte) error {
+// replaceFile atomically replaces a file and syncs the file and its folder.
+func replaceFile(path string, data []byte) error {
 	pending, err := renameio.NewPendingFile(path, renameio.WithPermissions(fileMode))
 	if err != nil {
 		return err
@@ -169,10 +171,10 @@
 	return handle.Sync()
 }
 
-func randomDisk() (string, error) {
-	var raw [diskBytes]byte
+func randomDiskName() (string, error) {
+	var raw [diskNameBytes]byte
 	if _, err := rand.Read(raw[:]); err != nil {
-		return "", errors.Wrap(err, "name the disk")
+		return "", errors.Wrap(err, "generate disk name")
 	}
 	return hex.EncodeToString(raw[:]), nil
 }
--- a/pkg/journaler/journaler.go
+++ b/pkg/journaler/journaler.go
@@ -16,66 +16,67 @@
 )
 
 type (
-	// File is what a journal needs of a file.
+	// File is a journal file open for writing.
 	File interface {
 		io.Writer
 		Sync() error
 		Close() error
 	}
 
-	// Create opens a new file for writing.
-	Create func(path string) (File, error)
+	// CreateFunc creates or truncates the file at path and opens it for writing.
+	CreateFunc func(path string) (File, error)
 
-	// Option sets up a Journaler.
+	// Option configures a Journaler.
 	Option func(*Journaler)
 
-	// Journaler persists the writes of a replicator; it belongs to one goroutine.
+	// Journaler persists the writes of a replicator. It is not safe for concurrent use.
 	Journaler struct {
 		folder   string
 		identity Identity
 		lock     *os.File
-		create   Create
-		// syncNames makes the names in a folder last.
-		syncNames func(folder string) error
-		file      File
-		writer    *journal.Writer
-		sequence  int
-		failed    error
-		// tornWrites tells that a damaged record ends the journal.
-		tornWrites bool
+		create   CreateFunc
+		// syncDir syncs the directory entries of a folder to disk.
+		syncDir    func(folder string) error
+		file       File
+		writer     *journal.Writer
+		sequence   int
+		persistErr error
+		// toleratesTornWrites reports whether a journal is truncated at its first damaged record.
+		toleratesTornWrites bool
 	}
 )
 
-// WithCreate sets how journal files are created.
-func WithCreate(create Create) Option {
+// WithCreate sets the function that creates journal files.
+func WithCreate(create CreateFunc) Option {
 	return func(j *Journaler) { j.create = create }
 }
 
-// WithFolderSync sets how the names in the data folder are made to last.
-func WithFolderSync(syncNames func(folder string) error) Option {
-	return func(j *Journaler) { j.syncNames = syncNames }
+// WithFolderSync sets the function that syncs the directory entries of the data folder to disk.
+func WithFolderSync(syncDir func(folder string) error) Option {
+	return func(j *Journaler) { j.syncDir = syncDir }
 }
 
-// WithTornWrites cuts a journal at its first damaged record. It is for disks on which a power loss
-// may keep a later unsynced write and lose an earlier one: what was synced lies before any damage.
+// WithTornWrites truncates a journal at its first damaged record instead of returning an error. It is meant for disks that
+// may, on a power loss, keep a later unsynced write and lose an earlier one. Synced records precede any such damage.
 func WithTornWrites() Option {
-	return func(j *Journaler) { j.tornWrites = true }
+	return func(j *Journaler) { j.toleratesTornWrites = true }
 }
 
-// Open locks the folder of an instance and returns what it holds; a torn last record is cut, other damage is a *FolderError.
-func Open(folder, cluster, instance string, options ...Option) (*Journaler, replicator.Saved, error) {
+// Open locks the data folder of an instance and returns a Journaler with the persistent state read from the folder.
+// It drops a torn last record. Other damage, a foreign identity or a folder in use is a *FolderError.
+func Open(folder, cluster, instance string, options ...Option) (*Journaler, replicator.PersistentState, error) {
 	identity, err := checkIdentity(folder, cluster, instance)
 	if err != nil {
-		return nil, replicator.Saved{}, err
+		return nil, replicator.PersistentState{}, err
 	}
-	j := &Journaler{folder: folder, identity: identity, create: createFile, syncNames: syncFolder}
+	j := &Journaler{folder: folder, identity: identity, create: createFile, syncDir: syncFolder}
 	for _, option := range options {
 		option(j)
 	}
-	if j.lock, err = lock(folder); err != nil {
-		return nil, replicator.Saved{}, err
+	if j.lock, err = lockFolder(folder); err != nil {
+		return nil, replicator.PersistentState{}, err
 	}
-	saved, err := j.recover()
+	saved, err := j.load()
 	if err != nil {
 		_ = j.lock.Close()
 		return nil, saved, err
@@ -83,21 +84,22 @@
 	return j, saved, nil
 }
 
-// Identity returns to whom the folder belongs.
+// Identity returns the identity of the open data folder.
 func (j *Journaler) Identity() Identity { return j.identity }
 
-// Persist writes and syncs; after an error nothing is persisted until the folder is opened again.
+// Persist appends the writes to the journal and syncs it. A SaveSnapshot also replaces the snapshot file and the journal.
+// After an error every later call returns the same error until the folder is opened again.
 func (j *Journaler) Persist(writes []replicator.Write) error {
-	if j.failed != nil {
-		return j.failed
+	if j.persistErr != nil {
+		return j.persistErr
 	}
 	if err := j.persist(writes); err != nil {
-		j.failed = errors.Wrap(err, "persist: nothing is acknowledged until the process starts again")
+		j.persistErr = errors.Wrap(err, "persist writes; no further writes are accepted until the process restarts")
 	}
-	return j.failed
+	return j.persistErr
 }
 
-// Close releases the folder.
+// Close closes the journal and unlocks the folder.
 func (j *Journaler) Close() error {
 	err := j.file.Close()
 	if closeErr := j.lock.Close(); err == nil {
@@ -107,29 +109,29 @@
 }
 
 func (j *Journaler) persist(writes []replicator.Write) error {
-	appended := false
+	needsSync := false
 	for i, write := range writes {
 		snapshot, ok := write.(replicator.SaveSnapshot)
 		if ok {
-			return j.replaceAll(snapshot.Snapshot, writes[i+1:])
+			return j.saveSnapshot(snapshot.Snapshot, writes[i+1:])
 		}
-		if err := j.append(write); err != nil {
+		if err := j.appendRecord(write); err != nil {
 			return err
 		}
-		appended = true
+		needsSync = true
 	}
-	if !appended {
+	if !needsSync {
 		return nil
 	}
-	return j.sync()
+	return j.flushAndSync()
 }
 
-// replaceAll saves a snapshot and starts a journal that holds only what follows it.
-func (j *Journaler) replaceAll(snapshot replicator.Snapshot, rest []replicator.Write) error {
-	if err := j.sync(); err != nil {
+// saveSnapshot replaces the snapshot file, starts a journal with only the entries after the snapshot, and persists rest.
+func (j *Journaler) saveSnapshot(snapshot replicator.Snapshot, rest []replicator.Write) error {
+	if err := j.flushAndSync(); err != nil {
 		return err
 	}
-	saved, _, err := j.readAll()
+	saved, _, err := j.readState()
 	if err != nil {
 		return err
 	}
@@ -137,35 +139,36 @@
 	if err != nil {
 		return err
 	}
-	if err := writeFile(filepath.Join(j.folder, snapshotFile), data); err != nil {
+	if err := replaceFile(filepath.Join(j.folder, snapshotFile), data); err != nil {
 		return err
 	}
-	if err := j.startLog(afterSnapshot(saved, snapshot)); err != nil {
+	if err := j.startJournal(stateAfterSnapshot(saved, snapshot)); err != nil {
 		return err
 	}
 	return j.persist(rest)
 }
 
-// afterSnapshot keeps the entries behind the snapshot where they continue it.
-func afterSnapshot(saved replicator.Saved, snapshot replicator.Snapshot) replicator.Saved {
-	kept := replicator.Saved{Term: saved.Term, Vote: saved.Vote, Snapshot: snapshot}
+// stateAfterSnapshot returns saved with the snapshot applied. It keeps the entries after the snapshot, unless they conflict
+// with its term or do not start right after its index.
+func stateAfterSnapshot(saved replicator.PersistentState, snapshot replicator.Snapshot) replicator.PersistentState {
+	remaining := replicator.PersistentState{Term: saved.Term, Vote: saved.Vote, Snapshot: snapshot}
 	for _, entry := range saved.Entries {
 		if entry.Index == snapshot.Index && entry.Term != snapshot.Term {
-			return kept
+			return remaining
 		}
 	}
 	for _, entry := range saved.Entries {
 		if entry.Index > snapshot.Index {
-			kept.Entries = append(kept.Entries, entry)
+			remaining.Entries = append(remaining.Entries, entry)
 		}
 	}
-	if len(kept.Entries) > 0 && kept.Entries[0].Index != snapshot.Index+1 {
-		kept.Entries = nil
+	if len(remaining.Entries) > 0 && remaining.Entries[0].Index != snapshot.Index+1 {
+		remaining.Entries = nil
 	}
-	return kept
+	return remaining
 }
 
-func (j *Journaler) append(write replicator.Write) error {
+func (j *Journaler) appendRecord(write replicator.Write) error {
 	data, err := encodeRecord(write)
 	if err != nil {
 		return err
@@ -178,42 +181,42 @@
 	return err
 }
 
-func (j *Journaler) sync() error {
+func (j *Journaler) flushAndSync() error {
 	if err := j.writer.Flush(); err != nil {
 		return err
 	}
 	return j.file.Sync()
 }
 
-// recover reads the folder and starts a new journal file that holds all of it.
-func (j *Journaler) recover() (replicator.Saved, error) {
-	saved, sequence, err := j.readAll()
+// load reads the saved state and rewrites it to a new journal file.
+func (j *Journaler) load() (replicator.PersistentState, error) {
+	saved, sequence, err := j.readState()
 	if err != nil {
 		return saved, err
 	}
 	j.sequence = sequence
-	return saved, j.startLog(saved)
+	return saved, j.startJournal(saved)
 }
 
-func (j *Journaler) readAll() (replicator.Saved, int, error) {
-	var saved replicator.Saved
+func (j *Journaler) readState() (replicator.PersistentState, int, error) {
+	var saved replicator.PersistentState
 	if err := j.readSnapshot(&saved); err != nil {
 		return saved, 0, err
 	}
-	paths, sequence, err := j.logFiles()
+	paths, sequence, err := j.journalFiles()
 	if err != nil || len(paths) == 0 {
 		return saved, sequence, err
 	}
-	tail, err := readLog(paths[len(paths)-1], j.tornWrites)
+	state, err := readLog(paths[len(paths)-1], j.toleratesTornWrites)
 	if err != nil {
 		return saved, 0, err
 	}
 	snapshot := saved.Snapshot
-	saved = afterSnapshot(tail, snapshot)
+	saved = stateAfterSnapshot(state, snapshot)
 	return saved, sequence, nil
 }
 
-func (j *Journaler) readSnapshot(saved *replicator.Saved) error {
+func (j *Journaler) readSnapshot(saved *replicator.PersistentState) error {
 	path := filepath.Join(j.folder, snapshotFile)
 	data, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -229,32 +232,33 @@
 	return nil
 }
 
-// logFiles returns the journal files in order; the last one holds everything behind the snapshot.
-func (j *Journaler) logFiles() ([]string, int, error) {
-	names, err := os.ReadDir(j.folder)
+// journalFiles returns the paths of the journal files, oldest first, and the highest sequence number.
+// The newest file holds all records after the snapshot.
+func (j *Journaler) journalFiles() ([]string, int, error) {
+	files, err := os.ReadDir(j.folder)
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "list data folder")
 	}
 	var paths []string
 	sequence := 0
-	for _, name := range names {
-		if !strings.HasPrefix(name.Name(), logPrefix) || strings.HasSuffix(name.Name(), ".new") {
+	for _, file := range files {
+		if !strings.HasPrefix(file.Name(), logPrefix) || strings.HasSuffix(file.Name(), ".new") {
 			continue
 		}
 		var number int
-		if _, err := fmt.Sscanf(name.Name(), logPrefix+"%d", &number); err != nil {
+		if _, err := fmt.Sscanf(file.Name(), logPrefix+"%d", &number); err != nil {
 			continue
 		}
 		sequence = max(sequence, number)
-		paths = append(paths, filepath.Join(j.folder, name.Name()))
+		paths = append(paths, filepath.Join(j.folder, file.Name()))
 	}
 	sort.Strings(paths)
 	return paths, sequence, nil
 }
 
-// startLog writes a new journal file with all that is saved and removes the older ones.
-func (j *Journaler) startLog(saved replicator.Saved) error {
-	old, _, err := j.logFiles()
+// startJournal writes the saved state to a new journal file and removes the older files.
+func (j *Journaler) startJournal(saved replicator.PersistentState) error {
+	oldPaths, _, err := j.journalFiles()
 	if err != nil {
 		return err
 	}
@@ -269,35 +273,35 @@
 	}
 	j.file = file
 	j.writer = journal.NewWriter(file)
-	if err := j.append(replicator.SaveVote{Term: saved.Term, Vote: saved.Vote}); err != nil {
+	if err := j.appendRecord(replicator.SaveVote{Term: saved.Term, Vote: saved.Vote}); err != nil {
 		return err
 	}
-	if err := j.append(replicator.SaveEntries{Entries: saved.Entries}); err != nil {
+	if err := j.appendRecord(replicator.SaveEntries{Entries: saved.Entries}); err != nil {
 		return err
 	}
-	if err := j.sync(); err != nil {
+	if err := j.flushAndSync(); err != nil {
 		return err
 	}
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	// Without this a power loss may keep the removals below and lose the renaming.
-	if err := j.syncNames(j.folder); err != nil {
+	// Without this sync, a power loss could keep the removals below but lose the rename.
+	if err := j.syncDir(j.folder); err != nil {
 		return err
 	}
-	for _, oldPath := range old {
+	for _, oldPath := range oldPaths {
 		if err := os.Remove(oldPath); err != nil {
 			return err
 		}
 	}
-	return j.syncNames(j.folder)
+	return j.syncDir(j.folder)
 }
 
 func createFile(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 }
 
-func unmarshalRecord(data []byte) (record, error) {
+func decodeRecord(data []byte) (record, error) {
 	var r record
 	err := msgpack.Unmarshal(data, &r)
 	return r, err
--- a/pkg/journaler/journaler_test.go
+++ b/pkg/journaler/journaler_test.go
@@ -22,7 +22,7 @@
 	return folder
 }
 
-func open(t *testing.T, folder string, options ...Option) (*Journaler, replicator.Saved) {
+func open(t *testing.T, folder string, options ...Option) (*Journaler, replicator.PersistentState) {
 	t.Helper()
 	j, saved, err := Open(folder, "cluster", "control-1", options...)
 	if err != nil {
@@ -46,48 +46,48 @@
 	}
 }
 
-func closeJournal(t *testing.T, j *Journaler) {
+func closeJournaler(t *testing.T, j *Journaler) {
 	t.Helper()
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func lastLog(t *testing.T, folder string) string {
+func newestJournal(t *testing.T, folder string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, logPrefix+"*"))
 	if err != nil || len(files) == 0 {
-		t.Fatal("no journal", err)
+		t.Fatal("got no journal file, want at least one; error:", err)
 	}
 	return files[len(files)-1]
 }
 
-func TestRestartKeepsEverything(t *testing.T) {
+func TestRestartRestoresState(t *testing.T) {
 	snapshot := replicator.Snapshot{Index: 2, Term: 1, Data: []byte("state")}
 	tests := []struct {
 		name   string
 		writes []replicator.Write
-		want   replicator.Saved
+		want   replicator.PersistentState
 	}{
 		{
 			"vote and entries",
 			[]replicator.Write{replicator.SaveVote{Term: 3, Vote: "b"}, replicator.SaveEntries{Entries: entries(1, 3, 3)}},
-			replicator.Saved{Term: 3, Vote: "b", Entries: entries(1, 3, 3)},
+			replicator.PersistentState{Term: 3, Vote: "b", Entries: entries(1, 3, 3)},
 		},
 		{
-			"entries that replace others",
+			"entries that overwrite earlier entries",
 			[]replicator.Write{replicator.SaveEntries{Entries: entries(1, 5, 1)}, replicator.SaveEntries{Entries: entries(3, 4, 2)}},
-			replicator.Saved{Entries: append(entries(1, 2, 1), entries(3, 4, 2)...)},
+			replicator.PersistentState{Entries: append(entries(1, 2, 1), entries(3, 4, 2)...)},
 		},
 		{
-			"snapshot in the middle",
+			"snapshot between entries",
 			[]replicator.Write{replicator.SaveEntries{Entries: entries(1, 4, 1)}, replicator.SaveSnapshot{Snapshot: snapshot}, replicator.SaveEntries{Entries: entries(5, 5, 1)}},
-			replicator.Saved{Snapshot: snapshot, Entries: entries(3, 5, 1)},
+			replicator.PersistentState{Snapshot: snapshot, Entries: entries(3, 5, 1)},
 		},
 		{
-			"snapshot of another history drops the rest",
+			"snapshot with a conflicting term drops the entries",
 			[]replicator.Write{replicator.SaveEntries{Entries: entries(1, 4, 7)}, replicator.SaveSnapshot{Snapshot: snapshot}},
-			replicator.Saved{Snapshot: snapshot},
+			replicator.PersistentState{Snapshot: snapshot},
 		},
 	}
 	for _, test := range tests {
@@ -96,89 +96,89 @@
 			j, _ := open(t, folder)
 			persist(t, j, test.writes...)
 			for range 2 {
-				closeJournal(t, j)
-				var saved replicator.Saved
+				closeJournaler(t, j)
+				var saved replicator.PersistentState
 				j, saved = open(t, folder)
 				if len(saved.Entries) == 0 {
 					saved.Entries = nil
 				}
 				if !reflect.DeepEqual(saved, test.want) {
-					t.Fatalf("found %+v, want %+v", saved, test.want)
+					t.Fatalf("restored %+v, want %+v", saved, test.want)
 				}
 			}
-			closeJournal(t, j)
+			closeJournaler(t, j)
 		})
 	}
 }
 
-// TestTornTailIsCut cuts the journal at every byte of its last record.
-// A power loss may keep the removal of the old journal and lose the name of the new one, unless the folder was synced
-// while it held both.
-func TestNewJournalLastsBeforeTheOldOneGoes(t *testing.T) {
+// Without a folder sync while both journals exist, a power loss can keep the removal of the old journal but lose the rename
+// of the new one.
+func TestNewJournalIsSyncedBeforeOldIsRemoved(t *testing.T) {
 	folder := newFolder(t)
 	j, _ := open(t, folder)
 	persist(t, j, replicator.SaveEntries{Entries: entries(1, 3, 1)})
-	closeJournal(t, j)
+	closeJournaler(t, j)
 	var synced [][]string
-	record := func(folder string) error {
+	recordSync := func(folder string) error {
 		paths, err := filepath.Glob(filepath.Join(folder, logPrefix+"*"))
 		synced = append(synced, paths)
 		return err
 	}
-	j, _, err := Open(folder, "cluster", "control-1", WithFolderSync(record))
+	j, _, err := Open(folder, "cluster", "control-1", WithFolderSync(recordSync))
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeJournal(t, j)
+	closeJournaler(t, j)
 	if len(synced) != 2 || len(synced[0]) != 2 || len(synced[1]) != 1 {
-		t.Fatalf("the folder was synced with %v, want both journals and then the new one", synced)
+		t.Fatalf("files at the folder syncs: got %v, want both journals, then only the new one", synced)
 	}
 	if name := filepath.Base(synced[0][1]); strings.HasSuffix(name, ".new") || synced[1][0] != synced[0][1] {
-		t.Errorf("the new journal had the name %q when both were synced", name)
+		t.Errorf("new journal at the first folder sync: got name %q, want its final name", name)
 	}
 }
 
-func TestTornTailIsCut(t *testing.T) {
+// Truncates the journal at every byte of its last record, with and without zeros after the end.
+func TestTornLastRecordIsDropped(t *testing.T) {
 	folder := newFolder(t)
 	j, _ := open(t, folder)
 	persist(t, j, replicator.SaveEntries{Entries: entries(1, 2, 1)})
-	whole := size(t, lastLog(t, folder))
+	intactBytes := size(t, newestJournal(t, folder))
 	persist(t, j, replicator.SaveEntries{Entries: entries(3, 3, 1)})
-	closeJournal(t, j)
-	content := read(t, lastLog(t, folder))
-	for cut := whole; cut < len(content); cut++ {
-		for _, filler := range []int{0, 64} {
+	closeJournaler(t, j)
+	content := read(t, newestJournal(t, folder))
+	for cut := intactBytes; cut < len(content); cut++ {
+		for _, zeros := range []int{0, 64} {
 			target := copyFolder(t, folder)
-			write(t, lastLog(t, target), append(append([]byte(nil), content[:cut]...), make([]byte, filler)...))
+			write(t, newestJournal(t, target), append(append([]byte(nil), content[:cut]...), make([]byte, zeros)...))
 			opened, saved := open(t, target)
 			if len(saved.Entries) != 2 {
-				t.Fatalf("cut at %d with %d zeros: %d entries, want 2", cut, filler, len(saved.Entries))
+				t.Fatalf("truncated at byte %d, followed by %d zeros: got %d entries, want 2", cut, zeros, len(saved.Entries))
 			}
-			closeJournal(t, opened)
+			closeJournaler(t, opened)
 		}
 	}
 }
 
-// TestDamageIsRefused flips a bit in every byte before the last record.
-func TestDamageIsRefused(t *testing.T) {
+// Flips one bit in each byte before the last record.
+func TestDamagedRecordIsRefused(t *testing.T) {
 	folder := newFolder(t)
 	j, _ := open(t, folder)
 	for i := uint64(1); i <= 3; i++ {
 		persist(t, j, replicator.SaveEntries{Entries: entries(i, i, 1)})
 	}
-	before := size(t, lastLog(t, folder))
+	lastRecordOffset := size(t, newestJournal(t, folder))
 	persist(t, j, replicator.SaveEntries{Entries: entries(4, 4, 1)})
-	closeJournal(t, j)
-	content := read(t, lastLog(t, folder))
-	for at := range before {
+	closeJournaler(t, j)
+	content := read(t, newestJournal(t, folder))
+	for offset := range lastRecordOffset {
 		target := copyFolder(t, folder)
 		damaged := append([]byte(nil), content...)
-		damaged[at] ^= 0x40
-		write(t, lastLog(t, target), damaged)
+		damaged[offset] ^= 0x40
+		write(t, newestJournal(t, target), damaged)
 		_, _, err := Open(target, "cluster", "control-1")
-		var fault *FolderError
-		if !errors.As(err, &fault) || fault.File() == "" || fault.Offset() > int64(at) {
-			t.Fatalf("bit flipped at %d: %v", at, err)
+		var folderErr *FolderError
+		if !errors.As(err, &folderErr) || folderErr.File() == "" || folderErr.Offset() > int64(offset) {
+			t.Fatalf("bit flipped at byte %d: got error %v, want a FolderError with a file and an offset up to that byte", offset, err)
 		}
 	}
 }
@@ -187,17 +187,17 @@
 	folder := newFolder(t)
 	j, _ := open(t, folder)
 	persist(t, j, replicator.SaveSnapshot{Snapshot: replicator.Snapshot{Index: 1, Term: 1, Data: []byte("state")}})
-	closeJournal(t, j)
+	closeJournaler(t, j)
 	path := filepath.Join(folder, snapshotFile)
 	content := read(t, path)
 	content[3] ^= 1
 	write(t, path, content)
 	if _, _, err := Open(folder, "cluster", "control-1"); err == nil {
-		t.Fatal("a damaged snapshot was taken")
+		t.Fatal("open with a damaged snapshot: got no error, want one")
 	}
 }
 
-func TestFolderBelongsToOneInstance(t *testing.T) {
+func TestFolderOwnershipIsChecked(t *testing.T) {
 	folder := newFolder(t)
 	j, _ := open(t, folder)
 	tests := []struct {
@@ -207,84 +207,84 @@
 	}{{"in use", "cluster", "control-1"}, {"other cluster", "other", "control-1"}, {"other instance", "cluster", "control-2"}}
 	for _, test := range tests {
 		if _, _, err := Open(folder, test.cluster, test.instance); err == nil {
-			t.Errorf("%s: the folder was opened", test.name)
+			t.Errorf("%s: open returned no error, want one", test.name)
 		}
 	}
-	closeJournal(t, j)
+	closeJournaler(t, j)
 	if _, err := Format(folder, "cluster", "control-1", false); err == nil {
-		t.Error("a folder with files was formatted")
+		t.Error("format of a non-empty folder: got no error, want one")
 	}
 	if _, _, err := Open(t.TempDir(), "cluster", "control-1"); err == nil {
-		t.Error("an unformatted folder was opened")
+		t.Error("open of an unformatted folder: got no error, want one")
 	}
 }
 
-func TestFreshDisksDiffer(t *testing.T) {
-	seen := map[replicator.NodeID]bool{}
+func TestRandomDiskNamesDiffer(t *testing.T) {
+	used := map[replicator.NodeID]bool{}
 	for range 3 {
 		identity, err := Format(filepath.Join(t.TempDir(), "data"), "cluster", "control-1", false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if seen[identity.Node()] || identity.Disk == FirstDisk {
-			t.Fatalf("node %s again", identity.Node())
+		if used[identity.Node()] || identity.Disk == BootstrapDisk {
+			t.Fatalf("got node ID %s, want a new ID with a random disk name", identity.Node())
 		}
-		seen[identity.Node()] = true
+		used[identity.Node()] = true
 	}
 }
 
-// failingFile fails from a given number of bytes, or at its sync.
+// failingFile fails writes longer than maxWriteBytes, and syncs if failsSync is set, while isFailing is true.
 type failingFile struct {
 	File
-	left     int
-	failSync bool
-	armed    *bool
+	maxWriteBytes int
+	failsSync     bool
+	isFailing     *bool
 }
 
 func (f *failingFile) Write(p []byte) (int, error) {
-	if *f.armed && len(p) > f.left {
+	if *f.isFailing && len(p) > f.maxWriteBytes {
 		return 0, errors.New("no space left on device")
 	}
 	return f.File.Write(p)
 }
 
 func (f *failingFile) Sync() error {
-	if *f.armed && f.failSync {
+	if *f.isFailing && f.failsSync {
 		return errors.New("input/output error")
 	}
 	return f.File.Sync()
 }
 
-func TestNothingAfterAFailedWrite(t *testing.T) {
+func TestPersistFailsAfterFailedWrite(t *testing.T) {
 	tests := []struct {
-		name     string
-		left     int
-		failSync bool
+		name          string
+		maxWriteBytes int
+		failsSync     bool
 	}{{"full disk", 0, false}, {"failed sync", 1 << 20, true}}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			folder := newFolder(t)
-			armed := false
+			isFailing := false
 			j, _ := open(t, folder, WithCreate(func(path string) (File, error) {
 				file, err := createFile(path)
-				return &failingFile{File: file, left: test.left, failSync: test.failSync, armed: &armed}, err
+				return &failingFile{File: file, maxWriteBytes: test.maxWriteBytes, failsSync: test.failsSync, isFailing: &isFailing}, err
 			}))
 			persist(t, j, replicator.SaveEntries{Entries: entries(1, 1, 1)})
-			armed = true
+			isFailing = true
 			if err := j.Persist([]replicator.Write{replicator.SaveEntries{Entries: entries(2, 2, 1)}}); err == nil {
-				t.Fatal("a failed write was reported as done")
+				t.Fatal("persist with a failing file: got no error, want one")
 			}
-			armed = false
+			isFailing = false
 			if err := j.Persist([]replicator.Write{replicator.SaveEntries{Entries: entries(2, 2, 1)}}); err == nil {
-				t.Fatal("a write was taken after a failed one, without a restart")
+				t.Fatal("persist after a failed write, without reopening: got no error, want one")
 			}
-			closeJournal(t, j)
+			closeJournaler(t, j)
 			j, saved := open(t, folder)
 			if len(saved.Entries) < 1 {
-				t.Fatal("what was acknowledged is lost")
+				t.Fatal("restored entries: got 0, want at least the acknowledged one")
 			}
 			persist(t, j, replicator.SaveEntries{Entries: entries(2, 2, 1)})
-			closeJournal(t, j)
+			closeJournaler(t, j)
 		})
 	}
 }
@@ -318,12 +318,12 @@
 func copyFolder(t *testing.T, folder string) string {
 	t.Helper()
 	target := t.TempDir()
-	names, err := os.ReadDir(folder)
+	files, err := os.ReadDir(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range names {
-		write(t, filepath.Join(target, name.Name()), read(t, filepath.Join(folder, name.Name())))
+	for _, file := range files {
+		write(t, filepath.Join(target, file.Name()), read(t, filepath.Join(folder, file.Name())))
 	}
 	return target
 }
--- a/pkg/journaler/read_log.go
+++ b/pkg/journaler/read_log.go
@@ -1,6 +1,6 @@
-// Reading a journal tells a torn last record from damage. A record that a
-// crash cut short was never acknowledged and is dropped. Anything else could
-// hide acknowledged records, so it is refused with its place.
+// The reader distinguishes a torn last record from other damage. A record that a
+// crash truncated was never acknowledged, so it is dropped. Any other damage could
+// hide acknowledged records, so it is returned as a FolderError with its offset.
 
 package journaler
 
@@ -18,39 +18,40 @@
 	"lovagedeck/pkg/replicator"
 )
 
+// Layout of the LevelDB journal format. A chunk starts with its checksum (4 bytes), its length (2) and its kind (1).
 const (
 	blockBytes    = 32 * 1024
 	headerBytes   = 7
-	lowestChunk   = 1
-	highestChunk  = 4
-	adviceReplace = "do not delete the file; format a new folder and add it as a new member, as docs/OPERATING.md says"
+	minChunkKind  = 1
+	maxChunkKind  = 4
+	adviceReplace = "do not delete the file; format a new folder and add it as a new member, as described in docs/OPERATING.md"
 )
 
-func readLog(path string, tornWrites bool) (replicator.Saved, error) {
-	var tail replicator.Saved
+func readLog(path string, toleratesTornWrites bool) (replicator.PersistentState, error) {
+	var state replicator.PersistentState
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return tail, errors.Wrap(err, "read journal")
+		return state, errors.Wrap(err, "read journal")
 	}
 	reader := journal.NewReader(bytes.NewReader(content), nil, true, true)
 	offset := 0
 	for {
 		data, err := nextRecord(reader)
 		if err == io.EOF {
-			return tail, nil
+			return state, nil
 		}
 		if err != nil {
-			if tornWrites || isTorn(content, offset) {
-				return tail, nil
+			if toleratesTornWrites || isTorn(content, offset) {
+				return state, nil
 			}
-			return tail, damage(path, offset, err)
+			return state, damageError(path, offset, err)
 		}
-		r, err := unmarshalRecord(data)
+		decoded, err := decodeRecord(data)
 		if err != nil {
-			return tail, damage(path, offset, err)
+			return state, damageError(path, offset, err)
 		}
-		if err := r.replay(&tail); err != nil {
-			return tail, damage(path, offset, err)
+		if err := decoded.applyTo(&state); err != nil {
+			return state, damageError(path, offset, err)
 		}
 		offset = endOfRecord(offset, len(data))
 	}
@@ -68,19 +69,19 @@
 	return data, err
 }
 
-func damage(path string, offset int, cause error) error {
+func damageError(path string, offset int, cause error) error {
 	return &FolderError{file: path, offset: int64(offset), reason: fmt.Sprintf("damaged record: %v", cause), advice: adviceReplace}
 }
 
-// endOfRecord returns where a record of the given length ends that starts at offset.
+// endOfRecord returns the end offset of a record of length bytes that starts at offset, including its chunk headers.
 func endOfRecord(offset, length int) int {
 	for {
-		left := blockBytes - offset%blockBytes
-		if left < headerBytes {
-			offset += left
-			left = blockBytes
+		remaining := blockBytes - offset%blockBytes
+		if remaining < headerBytes {
+			offset += remaining
+			remaining = blockBytes
 		}
-		part := min(left-headerBytes, length)
+		part := min(remaining-headerBytes, length)
 		offset += headerBytes + part
 		length -= part
 		if length == 0 {
@@ -89,15 +90,16 @@
 	}
 }
 
-// isTorn tells whether what starts at offset is the beginning of one record that was cut short.
+// isTorn reports whether the content from offset on is a single truncated record. A valid chunk after the first invalid one
+// means that the damage is not at the end.
 func isTorn(content []byte, offset int) bool {
 	for offset < len(content) {
-		if left := blockBytes - offset%blockBytes; left < headerBytes {
-			offset += left
+		if remaining := blockBytes - offset%blockBytes; remaining < headerBytes {
+			offset += remaining
 			continue
 		}
-		length, whole := validChunk(content, offset)
-		if !whole {
+		length, isComplete := parseChunk(content, offset)
+		if !isComplete {
 			break
 		}
 		offset += headerBytes + length
@@ -105,16 +107,16 @@
 	if offset >= len(content) {
 		return true
 	}
-	for later := offset + 1; later < len(content); later++ {
-		if _, valid := validChunk(content, later); valid {
+	for next := offset + 1; next < len(content); next++ {
+		if _, isValid := parseChunk(content, next); isValid {
 			return false
 		}
 	}
-	return isCutShort(content, offset)
+	return isTruncated(content, offset)
 }
 
-// isCutShort tells whether the chunk at offset reaches past the end of the file or into zeros.
-func isCutShort(content []byte, offset int) bool {
+// isTruncated reports whether the chunk at offset extends past the end of the file or the file ends in zeros.
+func isTruncated(content []byte, offset int) bool {
 	rest := content[offset:]
 	if len(rest) < headerBytes || rest[len(rest)-1] == 0 {
 		return true
@@ -123,7 +125,7 @@
 	return headerBytes+length > len(rest)
 }
 
-func validChunk(content []byte, offset int) (length int, valid bool) {
+func parseChunk(content []byte, offset int) (length int, isValid bool) {
 	if offset+headerBytes > len(content) {
 		return 0, false
 	}
@@ -131,7 +133,7 @@
 	length = int(binary.LittleEndian.Uint16(header[4:6]))
 	end := offset + headerBytes + length
 	kind := header[6]
-	if kind < lowestChunk || kind > highestChunk || end > len(content) {
+	if kind < minChunkKind || kind > maxChunkKind || end > len(content) {
 		return 0, false
 	}
 	checksum := binary.LittleEndian.Uint32(header[:4])
--- a/pkg/journaler/record.go
+++ b/pkg/journaler/record.go
@@ -10,7 +10,7 @@
 	"lovagedeck/pkg/replicator"
 )
 
-// record is one record of the journal, with exactly one field set.
+// record is a journal record with exactly one field set.
 type record struct {
 	Vote    *replicator.SaveVote    `msgpack:"v,omitempty"`
 	Entries *replicator.SaveEntries `msgpack:"e,omitempty"`
@@ -30,37 +30,38 @@
 	return data, errors.Wrap(err, "encode record")
 }
 
-// replay applies a record to what was read of the journal so far.
-func (r record) replay(tail *replicator.Saved) error {
+// applyTo applies the record to the state read from the journal so far.
+func (r record) applyTo(state *replicator.PersistentState) error {
 	if r.Vote != nil {
-		tail.Term, tail.Vote = r.Vote.Term, r.Vote.Vote
+		state.Term, state.Vote = r.Vote.Term, r.Vote.Vote
 	}
 	if r.Entries == nil {
 		return nil
 	}
 	for _, entry := range r.Entries.Entries {
-		if err := place(tail, entry); err != nil {
+		if err := appendEntry(state, entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func place(tail *replicator.Saved, entry replicator.Entry) error {
-	if len(tail.Entries) == 0 {
-		tail.Entries = append(tail.Entries, entry)
+// appendEntry adds an entry to the state and drops the entries from its index on. An entry that leaves a gap is an error.
+func appendEntry(state *replicator.PersistentState, entry replicator.Entry) error {
+	if len(state.Entries) == 0 {
+		state.Entries = append(state.Entries, entry)
 		return nil
 	}
-	first := tail.Entries[0].Index
+	first := state.Entries[0].Index
 	if entry.Index < first {
-		tail.Entries = append(tail.Entries[:0], entry)
+		state.Entries = append(state.Entries[:0], entry)
 		return nil
 	}
-	at := entry.Index - first
-	if at > uint64(len(tail.Entries)) {
-		return errors.Errorf("entry %d follows entry %d", entry.Index, first+uint64(len(tail.Entries))-1)
+	position := entry.Index - first
+	if position > uint64(len(state.Entries)) {
+		return errors.Errorf("gap in the log: entry %d follows entry %d", entry.Index, first+uint64(len(state.Entries))-1)
 	}
-	tail.Entries = append(tail.Entries[:at], entry)
+	state.Entries = append(state.Entries[:position], entry)
 	return nil
 }
 
@@ -75,11 +76,11 @@
 func decodeSnapshot(data []byte) (replicator.Snapshot, error) {
 	var snapshot replicator.Snapshot
 	if len(data) < checksumBytes {
-		return snapshot, errors.New("the snapshot is too short")
+		return snapshot, errors.New("snapshot too short for a checksum")
 	}
 	body := data[:len(data)-checksumBytes]
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(data[len(body):]) {
-		return snapshot, errors.New("the checksum of the snapshot is wrong")
+		return snapshot, errors.New("snapshot checksum mismatch")
 	}
 	return snapshot, errors.Wrap(msgpack.Unmarshal(body, &snapshot), "decode snapshot")
 }
--- a/pkg/recruiter/recruiter.go
+++ b/pkg/recruiter/recruiter.go
@@ -125,7 +125,7 @@
 func addJoiningNode(v View) Change {
 	var chosen replicator.NodeID
 	for id, requestedAt := range v.JoinRequests {
-		if v.Now-requestedAt > JoinerTimeout || v.Config.Voter(id) || v.Config.Learner(id) {
+		if v.Now-requestedAt > JoinerTimeout || v.Config.HasVoter(id) || v.Config.HasLearner(id) {
 			continue
 		}
 		if chosen == "" || id < chosen {
--- a/pkg/replicator/confirm.go
+++ b/pkg/replicator/confirm.go
@@ -1,129 +1,135 @@
-// A confirmation gives an index that was committed after the request for it
-// arrived. The leader sends one round of heartbeats for all requests that
-// wait and answers them when a majority replied to that very round. A leader
-// that has silently lost its majority therefore confirms nothing.
+// Linearizable reads use the read-index protocol of Raft. A read index is a commit
+// index that the leader confirmed after the request arrived. The leader sends one
+// round of heartbeats for all queued requests and answers them once a majority has
+// replied to that round. A leader that has lost its majority without noticing
+// therefore answers no request.
 
 package replicator
 
 import "time"
 
-const confirmTimeout = 400 * time.Millisecond
+const readIndexTimeout = 400 * time.Millisecond
 
 type (
-	confirmation struct {
-		id    uint64
-		from  NodeID
-		until time.Duration
+	// readRequest is a read-index request of this node, or of a follower that sent it to this leader.
+	readRequest struct {
+		id       uint64
+		from     NodeID
+		deadline time.Duration
 	}
 
-	rounds struct {
-		current uint64
-		waiting []confirmation
-		begun   []confirmation
-		index   uint64
+	// readRounds assigns read-index requests to rounds of heartbeats. On a follower, queued holds the requests that were sent to
+	// the leader, and inFlight is empty.
+	readRounds struct {
+		// lastRound is the number of the latest broadcast of this leader.
+		lastRound     uint64
+		queued        []readRequest
+		inFlight      []readRequest
+		inFlightRound uint64
 	}
 )
 
-func (c *Core) confirm(id uint64) {
-	request := confirmation{id: id, from: c.id, until: c.now + confirmTimeout}
+func (c *Core) requestReadIndex(id uint64) {
+	request := readRequest{id: id, from: c.id, deadline: c.now + readIndexTimeout}
 	if c.role == RoleLeader {
-		c.rounds.waiting = append(c.rounds.waiting, request)
-		c.beginRound()
+		c.readRounds.queued = append(c.readRounds.queued, request)
+		c.startRoundIfIdle()
 		return
 	}
 	if c.leader == "" {
-		c.out.Confirmed = append(c.out.Confirmed, Confirmed{ID: id})
+		c.output.ReadIndexResults = append(c.output.ReadIndexResults, ReadIndexResult{ID: id})
 		return
 	}
-	c.rounds.waiting = append(c.rounds.waiting, request)
-	c.send(Message{Kind: MessageConfirm, To: c.leader, ConfirmID: id})
+	c.readRounds.queued = append(c.readRounds.queued, request)
+	c.send(Message{Kind: MessageReadIndex, To: c.leader, ConfirmID: id})
 }
 
-func (c *Core) onConfirm(m Message) {
+func (c *Core) onReadIndex(m Message) {
 	if c.role != RoleLeader || c.progress[m.From] == nil {
-		c.send(Message{Kind: MessageConfirmReply, To: m.From, ConfirmID: m.ConfirmID, Rejected: true})
+		c.send(Message{Kind: MessageReadIndexReply, To: m.From, ConfirmID: m.ConfirmID, Rejected: true})
 		return
 	}
-	c.rounds.waiting = append(c.rounds.waiting, confirmation{id: m.ConfirmID, from: m.From, until: c.now + confirmTimeout})
-	c.beginRound()
+	c.readRounds.queued = append(c.readRounds.queued, readRequest{id: m.ConfirmID, from: m.From, deadline: c.now + readIndexTimeout})
+	c.startRoundIfIdle()
 }
 
-func (c *Core) onConfirmReply(m Message) {
-	for i, request := range c.rounds.waiting {
+func (c *Core) onReadIndexReply(m Message) {
+	for i, request := range c.readRounds.queued {
 		if request.from == c.id && request.id == m.ConfirmID {
-			c.rounds.waiting = append(c.rounds.waiting[:i], c.rounds.waiting[i+1:]...)
-			c.out.Confirmed = append(c.out.Confirmed, Confirmed{ID: m.ConfirmID, Index: m.Index, OK: !m.Rejected})
+			c.readRounds.queued = append(c.readRounds.queued[:i], c.readRounds.queued[i+1:]...)
+			c.output.ReadIndexResults = append(c.output.ReadIndexResults, ReadIndexResult{ID: m.ConfirmID, Index: m.Index, OK: !m.Rejected})
 			return
 		}
 	}
 }
 
-// beginRound starts a round unless one is under way, whose end starts the next.
-func (c *Core) beginRound() {
-	if len(c.rounds.begun) == 0 && c.Leading() {
+// startRoundIfIdle starts a round of heartbeats unless requests are in flight, in which case their completion starts the next
+// round. A leader that has not yet committed an entry of its term starts no extra round, and the requests join its next broadcast.
+func (c *Core) startRoundIfIdle() {
+	if len(c.readRounds.inFlight) == 0 && c.IsEstablishedLeader() {
 		c.broadcast()
 	}
 }
 
-// start moves the waiting requests into a new round; requests of the round under way stay with it.
-func (r *rounds) start() {
-	r.current++
-	if len(r.begun) == 0 {
-		r.begun = r.waiting
-		r.waiting = nil
-		r.index = r.current
+// start begins a new round. It moves the queued requests into this round unless an earlier round still has requests in flight.
+func (r *readRounds) start() {
+	r.lastRound++
+	if len(r.inFlight) == 0 {
+		r.inFlight = r.queued
+		r.queued = nil
+		r.inFlightRound = r.lastRound
 	}
 }
 
-// conclude answers the round under way once a majority replied to it.
-func (r *rounds) conclude(c *Core) {
-	if c.role != RoleLeader || len(r.begun) == 0 || !c.Leading() || !c.roundReached(r.index) {
+// completeInFlight answers the requests in flight once a majority has replied to their round or a later one.
+func (r *readRounds) completeInFlight(c *Core) {
+	if c.role != RoleLeader || len(r.inFlight) == 0 || !c.IsEstablishedLeader() || !c.hasRoundQuorum(r.inFlightRound) {
 		return
 	}
-	begun := r.begun
-	r.begun = nil
-	for _, request := range begun {
-		c.answerConfirm(request, true)
+	inFlight := r.inFlight
+	r.inFlight = nil
+	for _, request := range inFlight {
+		c.answerReadIndex(request, true)
 	}
-	if len(r.waiting) > 0 {
+	if len(r.queued) > 0 {
 		c.broadcast()
 	}
 }
 
-func (c *Core) roundReached(round uint64) bool {
-	reached := 0
+func (c *Core) hasRoundQuorum(round uint64) bool {
+	acked := 0
 	for _, id := range c.log.config.Voters {
-		if id == c.id || c.progress[id].round >= round {
-			reached++
+		if id == c.id || c.progress[id].ackedRound >= round {
+			acked++
 		}
 	}
-	return reached >= c.log.config.majority()
+	return acked >= c.log.config.quorum()
 }
 
-func (c *Core) answerConfirm(request confirmation, ok bool) {
+func (c *Core) answerReadIndex(request readRequest, ok bool) {
 	if request.from == c.id {
-		c.out.Confirmed = append(c.out.Confirmed, Confirmed{ID: request.id, Index: c.commit, OK: ok})
+		c.output.ReadIndexResults = append(c.output.ReadIndexResults, ReadIndexResult{ID: request.id, Index: c.commit, OK: ok})
 		return
 	}
-	c.send(Message{Kind: MessageConfirmReply, To: request.from, ConfirmID: request.id, Index: c.commit, Rejected: !ok})
+	c.send(Message{Kind: MessageReadIndexReply, To: request.from, ConfirmID: request.id, Index: c.commit, Rejected: !ok})
 }
 
-func (r *rounds) failAll(c *Core) {
-	for _, request := range append(r.begun, r.waiting...) {
-		c.answerConfirm(request, false)
+func (r *readRounds) failAll(c *Core) {
+	for _, request := range append(r.inFlight, r.queued...) {
+		c.answerReadIndex(request, false)
 	}
-	r.begun, r.waiting = nil, nil
+	r.inFlight, r.queued = nil, nil
 }
 
-// expire fails the requests of a follower whose leader does not answer.
-func (r *rounds) expire(c *Core) {
-	var kept []confirmation
-	for _, request := range r.waiting {
-		if c.now < request.until {
+// expireQueued fails the requests of a non-leader that the leader did not answer in time.
+func (r *readRounds) expireQueued(c *Core) {
+	var kept []readRequest
+	for _, request := range r.queued {
+		if c.now < request.deadline {
 			kept = append(kept, request)
 			continue
 		}
-		c.answerConfirm(request, false)
+		c.answerReadIndex(request, false)
 	}
-	r.waiting = kept
+	r.queued = kept
 }
--- a/pkg/replicator/core.go
+++ b/pkg/replicator/core.go
@@ -7,84 +7,91 @@
 )
 
 const (
-	// RoleFollower follows a leader or waits for one.
+	// RoleFollower replicates the log of a leader, or waits for a leader.
 	RoleFollower Role = "follower"
-	// RolePreCandidate asks whether an election could be won.
+	// RolePreCandidate asks the voters whether it could win an election.
 	RolePreCandidate Role = "pre-candidate"
-	// RoleCandidate asks for votes.
+	// RoleCandidate requests votes in an election.
 	RoleCandidate Role = "candidate"
-	// RoleLeader orders the log.
+	// RoleLeader appends entries to the log and replicates them.
 	RoleLeader Role = "leader"
 )
 
 type (
-	// Role is the part a node plays in its term.
+	// Role is the Raft role of a node in its current term.
 	Role string
 
-	// Core is the state of one node; it belongs to one goroutine.
+	// Core is the Raft state machine of one node. It is not safe for concurrent use.
 	Core struct {
-		id       NodeID
-		random   *rand.Rand
-		log      *entryLog
-		term     uint64
-		vote     NodeID
-		role     Role
-		leader   NodeID
-		commit   uint64
-		applied  uint64
-		votes    map[NodeID]bool
-		progress map[NodeID]*progress
-		now      time.Duration
-		electAt  time.Duration
-		heardAt  time.Duration
-		beatAt   time.Duration
-		rounds   rounds
-		out      Output
+		id     NodeID
+		random *rand.Rand
+		log    *entryLog
+		term   uint64
+		vote   NodeID
+		role   Role
+		leader NodeID
+		commit uint64
+		// applied is the index of the last entry returned as committed.
+		applied         uint64
+		votes           map[NodeID]bool
+		progress        map[NodeID]*progress
+		now             time.Duration
+		electionAt      time.Duration
+		leaderContactAt time.Duration
+		heartbeatAt     time.Duration
+		readRounds      readRounds
+		output          Output
 	}
 
+	// progress is the replication state of another node, as seen by the leader.
 	progress struct {
-		next    uint64
-		match   uint64
-		heardAt time.Duration
-		round   uint64
-		// resentFrom is the first entry that was sent again after a rejection, at resentAt.
-		resentFrom uint64
-		resentAt   time.Duration
+		nextIndex     uint64
+		matchIndex    uint64
+		lastContactAt time.Duration
+		ackedRound    uint64
+		// retransmitIndex is the first entry of the last retransmission after a rejection, which was sent at retransmitAt.
+		retransmitIndex uint64
+		retransmitAt    time.Duration
 	}
 
-	// Status describes a node.
+	// Status describes the state of a node.
 	Status struct {
-		ID        NodeID
-		Role      Role
-		Leader    NodeID
-		Term      uint64
+		ID     NodeID
+		Role   Role
+		Leader NodeID
+		Term   uint64
+		// Commit is the commit index.
 		Commit    uint64
 		LastIndex uint64
+		// LogLength is the number of entries after the snapshot.
 		LogLength int
 		Config    Config
-		Match     map[NodeID]uint64
-		HeardAt   map[NodeID]time.Duration
+		// Match is the highest replicated index of each other node. It is empty unless this node is the leader.
+		Match map[NodeID]uint64
+		// HeardAt is the time of the last reply of each node or, before its first reply, the time from which the leader tracks it.
+		// A node that is not the leader lists only itself.
+		HeardAt map[NodeID]time.Duration
 	}
 )
 
-// New returns a follower that continues from what was saved.
-func New(id NodeID, saved Saved, now time.Duration, random *rand.Rand) (*Core, error) {
+// New returns a follower that continues from saved, or an error if a saved config entry is invalid.
+func New(id NodeID, saved PersistentState, now time.Duration, random *rand.Rand) (*Core, error) {
 	log, err := newEntryLog(saved)
 	if err != nil {
 		return nil, err
 	}
 	core := &Core{
 		id: id, random: random, log: log, term: saved.Term, vote: saved.Vote, role: RoleFollower, now: now,
-		commit: saved.Snapshot.Index, applied: saved.Snapshot.Index, heardAt: now - ElectionTimeout,
+		commit: saved.Snapshot.Index, applied: saved.Snapshot.Index, leaderContactAt: now - ElectionTimeout,
 	}
-	core.electAt = now + time.Duration(random.Int64N(int64(firstSpread)))
+	core.electionAt = now + time.Duration(random.Int64N(int64(initialElectionJitter)))
 	return core, nil
 }
 
-// Step takes one input at the given time and returns what the caller has to do.
+// Step processes one input at the given monotonic time and returns the Output that the caller has to carry out.
 func (c *Core) Step(input Input, now time.Duration) Output {
 	c.now = now
-	c.out = Output{}
+	c.output = Output{}
 	switch in := input.(type) {
 	case Tick:
 		c.tick()
@@ -94,16 +101,16 @@
 		c.propose(in.Tag, Entry{Kind: EntryCommand, Data: in.Data})
 	case ProposeConfig:
 		c.proposeConfig(in)
-	case Confirm:
-		c.confirm(in.ID)
+	case ReadIndex:
+		c.requestReadIndex(in.ID)
 	case Compact:
 		c.compact(in)
 	}
-	c.release()
-	return c.out
+	c.collectCommitted()
+	return c.output
 }
 
-// Status returns a description of the node.
+// Status returns the state of the node.
 func (c *Core) Status() Status {
 	status := Status{
 		ID: c.id, Role: c.role, Leader: c.leader, Term: c.term, Commit: c.commit,
@@ -111,37 +118,39 @@
 		HeardAt: map[NodeID]time.Duration{c.id: c.now},
 	}
 	for id, p := range c.progress {
-		status.Match[id] = p.match
-		status.HeardAt[id] = p.heardAt
+		status.Match[id] = p.matchIndex
+		status.HeardAt[id] = p.lastContactAt
 	}
 	return status
 }
 
-// Leading tells whether the node leads and has committed an entry of its term.
-func (c *Core) Leading() bool {
+// IsEstablishedLeader reports whether this node is the leader and has committed an entry of its term. Only then is its commit index
+// known to cover all entries that earlier leaders committed.
+func (c *Core) IsEstablishedLeader() bool {
 	term, _ := c.log.term(c.commit)
 	return c.role == RoleLeader && term == c.term
 }
 
-// Leader returns the node that leads as far as this node knows, or an empty name.
+// Leader returns the ID of the leader known to this node, or an empty ID.
 func (c *Core) Leader() NodeID { return c.leader }
 
-// Role returns the part that this node plays.
+// Role returns the current role of this node.
 func (c *Core) Role() Role { return c.role }
 
-// Term returns the present term.
+// Term returns the current term.
 func (c *Core) Term() uint64 { return c.term }
 
-// Member tells whether this node votes or follows by the newest config that it knows.
-func (c *Core) Member() bool { return c.log.config.Voter(c.id) || c.log.config.Learner(c.id) }
+// IsMember reports whether this node is a voter or a learner in the newest config in its log.
+func (c *Core) IsMember() bool { return c.log.config.HasVoter(c.id) || c.log.config.HasLearner(c.id) }
 
-// Config returns the members by the newest config that this node knows.
+// Config returns the newest config in the log of this node, committed or not.
 func (c *Core) Config() Config { return c.log.config }
 
-// HeardAt returns when this node last heard of its leader, on its steady clock.
-func (c *Core) HeardAt() time.Duration { return c.heardAt }
+// LastLeaderContact returns the monotonic time of the last append or snapshot from a leader. Before the first one, it is
+// ElectionTimeout before the start.
+func (c *Core) LastLeaderContact() time.Duration { return c.leaderContactAt }
 
-// LogBytes returns how many bytes of commands follow the snapshot.
+// LogBytes returns the size of the entry data after the snapshot, in bytes.
 func (c *Core) LogBytes() int {
 	total := 0
 	for _, entry := range c.log.entries {
@@ -150,7 +159,7 @@
 	return total
 }
 
-// LogLength returns how many entries follow the snapshot.
+// LogLength returns the number of entries after the snapshot.
 func (c *Core) LogLength() int { return len(c.log.entries) }
 
 func (c *Core) tick() {
@@ -158,38 +167,38 @@
 		c.tickLeader()
 		return
 	}
-	if c.now >= c.electAt && c.log.config.Voter(c.id) {
+	if c.now >= c.electionAt && c.log.config.HasVoter(c.id) {
 		c.startPreVote()
 	}
-	c.rounds.expire(c)
+	c.readRounds.expireQueued(c)
 }
 
 func (c *Core) tickLeader() {
-	if !c.heardMajority() {
+	if !c.hasActiveQuorum() {
 		c.becomeFollower(c.term, "")
 		return
 	}
-	if c.now >= c.beatAt {
+	if c.now >= c.heartbeatAt {
 		c.broadcast()
 	}
 }
 
-// heardMajority tells whether a majority answered within the election time-out.
-func (c *Core) heardMajority() bool {
-	heard := 0
+// hasActiveQuorum reports whether a majority of the voters replied within the election timeout.
+func (c *Core) hasActiveQuorum() bool {
+	active := 0
 	for _, id := range c.log.config.Voters {
-		if id == c.id || c.now-c.progress[id].heardAt < ElectionTimeout {
-			heard++
+		if id == c.id || c.now-c.progress[id].lastContactAt < ElectionTimeout {
+			active++
 		}
 	}
-	return heard >= c.log.config.majority()
+	return active >= c.log.config.quorum()
 }
 
 func (c *Core) receive(m Message) {
 	if m.To != c.id {
 		return
 	}
-	if m.Term > c.term && !c.keepsTerm(m) {
+	if m.Term > c.term && !c.keepsCurrentTerm(m) {
 		leader := NodeID("")
 		if m.Kind == MessageAppend || m.Kind == MessageSnapshot {
 			leader = m.From
@@ -211,32 +220,33 @@
 		c.onAppendReply(m)
 	case MessageSnapshot:
 		c.onSnapshot(m)
-	case MessageConfirm:
-		c.onConfirm(m)
-	case MessageConfirmReply:
-		c.onConfirmReply(m)
+	case MessageReadIndex:
+		c.onReadIndex(m)
+	case MessageReadIndexReply:
+		c.onReadIndexReply(m)
 	}
 }
 
-// keepsTerm tells whether a message of a higher term leaves this node's term alone.
-func (c *Core) keepsTerm(m Message) bool {
+// keepsCurrentTerm reports whether this node keeps its term on a message with a higher term. Votes requested while a leader is
+// active must not force an election.
+func (c *Core) keepsCurrentTerm(m Message) bool {
 	switch m.Kind {
-	case MessagePreVote, MessageConfirm, MessageConfirmReply:
+	case MessagePreVote, MessageReadIndex, MessageReadIndexReply:
 		return true
 	case MessagePreVoteReply:
 		return m.Granted
 	case MessageVote:
-		return c.leaderIsRecent()
+		return c.hasRecentLeader()
 	}
 	return false
 }
 
-// leaderIsRecent tells whether a leader was heard of within the shortest election time-out.
-func (c *Core) leaderIsRecent() bool {
+// hasRecentLeader reports whether this node leads or received a message from a leader within the shortest election timeout.
+func (c *Core) hasRecentLeader() bool {
 	if c.role == RoleLeader {
 		return true
 	}
-	return c.leader != "" && c.now-c.heardAt < ElectionTimeout
+	return c.leader != "" && c.now-c.leaderContactAt < ElectionTimeout
 }
 
 func (c *Core) becomeFollower(term uint64, leader NodeID) {
@@ -249,23 +259,23 @@
 	c.role = RoleFollower
 	c.leader = leader
 	if wasLeader {
-		c.rounds.failAll(c)
+		c.readRounds.failAll(c)
 		c.progress = nil
 	}
-	c.resetElection()
+	c.resetElectionTimer()
 }
 
-func (c *Core) resetElection() {
-	c.electAt = c.now + ElectionTimeout + time.Duration(c.random.Int64N(int64(ElectionTimeout)))
+func (c *Core) resetElectionTimer() {
+	c.electionAt = c.now + ElectionTimeout + time.Duration(c.random.Int64N(int64(ElectionTimeout)))
 }
 
-// electSoon sets the time of an election while no leader is known to live.
-func (c *Core) electSoon() {
-	c.electAt = c.now + soonElection + time.Duration(c.random.Int64N(int64(soonSpread)))
+// scheduleElectionRetry sets a shorter election timeout than resetElectionTimer, for use while no leader is active.
+func (c *Core) scheduleElectionRetry() {
+	c.electionAt = c.now + electionRetryTimeout + time.Duration(c.random.Int64N(int64(electionRetryJitter)))
 }
 
 func (c *Core) saveVote() {
-	c.out.Writes = append(c.out.Writes, SaveVote{Term: c.term, Vote: c.vote})
+	c.output.Writes = append(c.output.Writes, SaveVote{Term: c.term, Vote: c.vote})
 }
 
 func (c *Core) send(m Message) {
@@ -273,13 +283,13 @@
 	if m.Term == 0 {
 		m.Term = c.term
 	}
-	c.out.Messages = append(c.out.Messages, m)
+	c.output.Messages = append(c.output.Messages, m)
 }
 
-// release hands out the entries that were committed since the last step.
-func (c *Core) release() {
+// collectCommitted adds the entries committed since the last step to the output.
+func (c *Core) collectCommitted() {
 	if c.commit > c.applied {
-		c.out.Committed = c.log.slice(c.applied+1, c.commit)
+		c.output.Committed = c.log.slice(c.applied+1, c.commit)
 		c.applied = c.commit
 	}
 }
@@ -289,10 +299,11 @@
 		return
 	}
 	snapshot := c.log.compact(in.Index, in.Data)
-	c.out.Writes = append(c.out.Writes, SaveSnapshot{Snapshot: snapshot})
+	c.output.Writes = append(c.output.Writes, SaveSnapshot{Snapshot: snapshot})
 }
 
-// advanceCommit commits what a majority holds and the leader wrote in its own term.
+// advanceCommit commits all entries up to the highest index that a majority holds, provided that the entry at this index is of
+// the leader's own term.
 func (c *Core) advanceCommit() {
 	matches := make([]uint64, 0, len(c.log.config.Voters))
 	for _, id := range c.log.config.Voters {
@@ -300,10 +311,10 @@
 			matches = append(matches, c.log.lastIndex())
 			continue
 		}
-		matches = append(matches, c.progress[id].match)
+		matches = append(matches, c.progress[id].matchIndex)
 	}
 	sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
-	index := matches[c.log.config.majority()-1]
+	index := matches[c.log.config.quorum()-1]
 	term, _ := c.log.term(index)
 	if index > c.commit && term == c.term {
 		c.commit = index
@@ -313,7 +324,7 @@
 }
 
 func (c *Core) stepDownIfRemoved() {
-	if c.commit >= c.log.configAt && !c.log.config.Voter(c.id) {
+	if c.commit >= c.log.configIndex && !c.log.config.HasVoter(c.id) {
 		c.becomeFollower(c.term, "")
 	}
 }
--- a/pkg/replicator/doc.go
+++ b/pkg/replicator/doc.go
@@ -1,2 +1,3 @@
-// Package replicator agrees on one log among the control instances; it is pure and never reads a clock.
+// Package replicator replicates a log among the control instances with the Raft algorithm. It performs no I/O and reads no clock:
+// the caller passes in messages and the time, and carries out the resulting Output.
 package replicator
--- a/pkg/replicator/election.go
+++ b/pkg/replicator/election.go
@@ -4,12 +4,12 @@
 	c.role = RolePreCandidate
 	c.leader = ""
 	c.votes = map[NodeID]bool{c.id: true}
-	c.electSoon()
-	if len(c.votes) >= c.log.config.majority() {
+	c.scheduleElectionRetry()
+	if len(c.votes) >= c.log.config.quorum() {
 		c.startElection()
 		return
 	}
-	c.askVotes(MessagePreVote, c.term+1)
+	c.requestVotes(MessagePreVote, c.term+1)
 }
 
 func (c *Core) startElection() {
@@ -18,15 +18,15 @@
 	c.vote = c.id
 	c.saveVote()
 	c.votes = map[NodeID]bool{c.id: true}
-	c.electSoon()
-	if len(c.votes) >= c.log.config.majority() {
+	c.scheduleElectionRetry()
+	if len(c.votes) >= c.log.config.quorum() {
 		c.becomeLeader()
 		return
 	}
-	c.askVotes(MessageVote, c.term)
+	c.requestVotes(MessageVote, c.term)
 }
 
-func (c *Core) askVotes(kind MessageKind, term uint64) {
+func (c *Core) requestVotes(kind MessageKind, term uint64) {
 	for _, id := range c.log.config.Voters {
 		if id != c.id {
 			c.send(Message{Kind: kind, To: id, Term: term, LastIndex: c.log.lastIndex(), LastTerm: c.log.lastTerm()})
@@ -35,24 +35,25 @@
 }
 
 func (c *Core) onPreVote(m Message) {
-	granted := m.Term > c.term && !c.leaderIsRecent() && c.upToDate(m) && c.Member()
+	granted := m.Term > c.term && !c.hasRecentLeader() && c.hasUpToDateLog(m) && c.IsMember()
 	term := c.term
 	if granted {
 		term = m.Term
-		c.yield(m.From)
+		c.deferElection(m.From)
 	}
 	c.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: term, Granted: granted})
 }
 
-// yield leaves the election to the node that asked: nodes that start together would else split the vote. Of two that
-// ask each other, the one with the lower name goes on.
-func (c *Core) yield(to NodeID) {
+// deferElection postpones this node's own election in favour of the candidate whose pre-vote it granted. Nodes that start at the
+// same time would otherwise split the vote. If two pre-candidates request pre-votes from each other, the one with the lower ID
+// continues.
+func (c *Core) deferElection(candidate NodeID) {
 	switch {
 	case c.role == RoleFollower:
-		c.electSoon()
-	case c.role == RolePreCandidate && to < c.id:
+		c.scheduleElectionRetry()
+	case c.role == RolePreCandidate && candidate < c.id:
 		c.role = RoleFollower
-		c.electSoon()
+		c.scheduleElectionRetry()
 	}
 }
 
@@ -60,22 +61,22 @@
 	if c.role != RolePreCandidate || !m.Granted || m.Term != c.term+1 {
 		return
 	}
-	if c.collect(m.From) {
+	if c.recordVote(m.From) {
 		c.startElection()
 	}
 }
 
 func (c *Core) onVote(m Message) {
-	if m.Term < c.term || (m.Term > c.term && c.leaderIsRecent()) {
+	if m.Term < c.term || (m.Term > c.term && c.hasRecentLeader()) {
 		c.send(Message{Kind: MessageVoteReply, To: m.From, Granted: false})
 		return
 	}
-	free := c.vote == "" || c.vote == m.From
-	granted := free && c.upToDate(m) && c.Member()
+	canVote := c.vote == "" || c.vote == m.From
+	granted := canVote && c.hasUpToDateLog(m) && c.IsMember()
 	if granted {
 		c.vote = m.From
 		c.saveVote()
-		c.resetElection()
+		c.resetElectionTimer()
 	}
 	c.send(Message{Kind: MessageVoteReply, To: m.From, Granted: granted})
 }
@@ -84,20 +85,20 @@
 	if c.role != RoleCandidate || !m.Granted || m.Term != c.term {
 		return
 	}
-	if c.collect(m.From) {
+	if c.recordVote(m.From) {
 		c.becomeLeader()
 	}
 }
 
-// collect counts a vote and tells whether a majority is reached.
-func (c *Core) collect(from NodeID) bool {
-	if c.log.config.Voter(from) {
+// recordVote records a granted vote and reports whether a majority is reached.
+func (c *Core) recordVote(from NodeID) bool {
+	if c.log.config.HasVoter(from) {
 		c.votes[from] = true
 	}
-	return len(c.votes) >= c.log.config.majority()
+	return len(c.votes) >= c.log.config.quorum()
 }
 
-func (c *Core) upToDate(m Message) bool {
+func (c *Core) hasUpToDateLog(m Message) bool {
 	if m.LastTerm != c.log.lastTerm() {
 		return m.LastTerm > c.log.lastTerm()
 	}
@@ -108,20 +109,20 @@
 	c.role = RoleLeader
 	c.leader = c.id
 	c.progress = map[NodeID]*progress{}
-	c.rounds = rounds{waiting: c.rounds.waiting}
-	c.trackMembers()
-	c.appendOwn(Entry{Kind: EntryEmpty})
+	c.readRounds = readRounds{queued: c.readRounds.queued}
+	c.updateProgress()
+	c.appendAsLeader(Entry{Kind: EntryNoOp})
 }
 
-// trackMembers keeps one progress record for each other node of the config.
-func (c *Core) trackMembers() {
-	for _, id := range c.log.config.all() {
+// updateProgress adds progress records for new members and removes those of former members.
+func (c *Core) updateProgress() {
+	for _, id := range c.log.config.members() {
 		if c.progress[id] == nil {
-			c.progress[id] = &progress{next: c.log.lastIndex() + 1, heardAt: c.now}
+			c.progress[id] = &progress{nextIndex: c.log.lastIndex() + 1, lastContactAt: c.now}
 		}
 	}
 	for id := range c.progress {
-		if !c.log.config.Voter(id) && !c.log.config.Learner(id) {
+		if !c.log.config.HasVoter(id) && !c.log.config.HasLearner(id) {
 			delete(c.progress, id)
 		}
 	}
--- a/pkg/replicator/election_test.go
+++ b/pkg/replicator/election_test.go
@@ -7,78 +7,78 @@
 	"time"
 )
 
-// All nodes start in the same moment, as after a power loss; callers wait until there is a leader.
-func TestLeaderSoonAfterAllNodesStart(t *testing.T) {
+// All nodes start at the same time, as after a power loss. Callers wait until a leader is elected.
+func TestLeaderIsElectedAfterSimultaneousStart(t *testing.T) {
 	const runs = 300
 	var delays []time.Duration
 	for seed := range uint64(runs) {
-		delays = append(delays, firstLeaderAfter(newCluster(seed, 5), 3*time.Second))
+		delays = append(delays, waitForLeader(newCluster(seed, 5), 3*time.Second))
 	}
 	sort.Slice(delays, func(i, j int) bool { return delays[i] < delays[j] })
 	if p90 := delays[runs*9/10]; p90 > ElectionTimeout {
-		t.Errorf("a leader after %v in 9 of 10 starts, want %v", p90, ElectionTimeout)
+		t.Errorf("time to a leader: p90 %v, want at most %v", p90, ElectionTimeout)
 	}
 	if last := delays[runs-1]; last > 2*ElectionTimeout {
-		t.Errorf("a leader after %v in the slowest start, want %v", last, 2*ElectionTimeout)
+		t.Errorf("time to a leader: maximum %v, want at most %v", last, 2*ElectionTimeout)
 	}
 }
 
-// After a power loss the nodes start one after the other; callers wait until the third of five has started.
-func TestLeaderAtOnceWhenAMajorityHasStarted(t *testing.T) {
+// After a power loss the nodes start one after the other. The third of five completes a majority, and callers wait until then.
+func TestLeaderIsElectedOnceMajorityHasStarted(t *testing.T) {
 	const (
-		runs  = 200
-		apart = 150 * time.Millisecond
-		limit = 80 * time.Millisecond
+		runs          = 200
+		startInterval = 150 * time.Millisecond
+		limit         = 80 * time.Millisecond
 	)
 	var delays []time.Duration
 	for seed := range uint64(runs) {
 		c := newCluster(seed, 5)
-		for _, n := range c.up() {
-			n.up = false
+		for _, n := range c.runningNodes() {
+			n.isRunning = false
 		}
-		for _, id := range c.order[:3] {
+		for _, id := range c.nodeOrder[:3] {
 			c.start(c.nodes[id])
-			if id == c.order[2] {
+			if id == c.nodeOrder[2] {
 				break
 			}
-			for until := c.now + apart; c.now < until; {
-				c.turn()
+			for until := c.now + startInterval; c.now < until; {
+				c.advance()
 			}
 		}
-		began := c.now
-		delays = append(delays, firstLeaderAfter(c, began+3*time.Second)-began)
+		majorityStartedAt := c.now
+		delays = append(delays, waitForLeader(c, majorityStartedAt+3*time.Second)-majorityStartedAt)
 	}
 	sort.Slice(delays, func(i, j int) bool { return delays[i] < delays[j] })
 	if p90 := delays[runs*9/10]; p90 > limit {
-		t.Errorf("a leader %v after the third node in 9 of 10 starts, want %v", p90, limit)
+		t.Errorf("time from the start of the third node to a leader: p90 %v, want at most %v", p90, limit)
 	}
 }
 
-// A node that comes back beside a living leader must not take the lead from it.
-func TestRestartedNodeKeepsTheLeader(t *testing.T) {
+// A node that restarts while a leader is active must not replace it.
+func TestRestartedNodeDoesNotReplaceLeader(t *testing.T) {
 	for seed := range uint64(50) {
 		c := newCluster(seed, 5)
-		firstLeaderAfter(c, 3*time.Second)
+		waitForLeader(c, 3*time.Second)
 		leader := c.leader()
-		for _, n := range c.up() {
+		for _, n := range c.runningNodes() {
 			if n.id != leader {
-				n.up = false
+				n.isRunning = false
 				c.start(n)
 				break
 			}
 		}
 		for range 100 {
-			c.turn()
+			c.advance()
 		}
-		if now := c.leader(); now != leader {
-			t.Fatalf("seed %d: the lead went from %s to %q", seed, leader, now)
+		if current := c.leader(); current != leader {
+			t.Fatalf("seed %d: leader changed from %s to %q, want no change", seed, leader, current)
 		}
 	}
 }
 
-func firstLeaderAfter(c *cluster, limit time.Duration) time.Duration {
+func waitForLeader(c *cluster, limit time.Duration) time.Duration {
 	for c.now < limit {
-		c.turn()
+		c.advance()
 		if c.leader() != "" {
 			return c.now
 		}
@@ -86,10 +86,10 @@
 	return limit
 }
 
-// turn lets one step of time pass and delivers what was sent in it.
-func (c *cluster) turn() {
+// advance advances the time by one step, ticks all nodes and delivers all messages.
+func (c *cluster) advance() {
 	c.now += stepTime
-	for _, id := range c.order {
+	for _, id := range c.nodeOrder {
 		c.step(c.nodes[id], Tick{}, false)
 	}
 	for range 10_000 {
@@ -101,28 +101,28 @@
 }
 
 func (c *cluster) leader() NodeID {
-	for _, n := range c.up() {
-		if n.core.Leading() {
+	for _, n := range c.runningNodes() {
+		if n.core.IsEstablishedLeader() {
 			return n.id
 		}
 	}
 	return ""
 }
 
-// Three nodes that lost their leader ask for pre-votes in the same moment and hear of each other late.
-func TestNodesThatAskTogetherElectOneLeader(t *testing.T) {
+// Three nodes that lost their leader request pre-votes at the same time, before they receive each other's requests.
+func TestConcurrentPreVotesElectLeader(t *testing.T) {
 	c := newCluster(1, 3)
-	for _, n := range c.up() {
-		n.core.electAt = c.now
+	for _, n := range c.runningNodes() {
+		n.core.electionAt = c.now
 	}
-	if delay := firstLeaderAfter(c, 3*time.Second); delay > 3*stepTime {
-		t.Errorf("a leader after %v, want %v: the vote was split", delay, 3*stepTime)
+	if delay := waitForLeader(c, 3*time.Second); delay > 3*stepTime {
+		t.Errorf("time to a leader: got %v, want at most %v (split vote)", delay, 3*stepTime)
 	}
 }
 
-// The leader is lost right after it gave a new disk its vote (TestStateful, seed 8192564538206079295): the new disk does not
-// know yet that it votes, and without it no majority of the four is left.
-func TestPromotedDiskVotesBeforeItKnows(t *testing.T) {
+// A leader that fails right after it promoted a learner may leave a learner that has not received the config with its promotion.
+// Without its vote, no majority of the four voters is left. Found by TestStateful with seed 8192564538206079295.
+func TestPromotedLearnerVotesBeforeReceivingConfig(t *testing.T) {
 	asLearner := Config{Voters: []NodeID{"a", "b", "c"}, Learners: []NodeID{"d"}}
 	cases := []struct {
 		name   string
@@ -130,14 +130,14 @@
 		kind   MessageKind
 		want   bool
 	}{
-		{"a learner, asked whether it would vote", asLearner, MessagePreVote, true},
-		{"a learner, asked for its vote", asLearner, MessageVote, true},
-		{"a disk that takes no part, asked whether it would vote", Config{Voters: asLearner.Voters}, MessagePreVote, false},
-		{"a disk that takes no part, asked for its vote", Config{Voters: asLearner.Voters}, MessageVote, false},
+		{"pre-vote request to a learner", asLearner, MessagePreVote, true},
+		{"vote request to a learner", asLearner, MessageVote, true},
+		{"pre-vote request to a non-member", Config{Voters: asLearner.Voters}, MessagePreVote, false},
+		{"vote request to a non-member", Config{Voters: asLearner.Voters}, MessageVote, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			core, err := New("d", Saved{Snapshot: Snapshot{Index: 5, Term: 1, Config: c.config}}, 0, rand.New(rand.NewPCG(1, 1)))
+			core, err := New("d", PersistentState{Snapshot: Snapshot{Index: 5, Term: 1, Config: c.config}}, 0, rand.New(rand.NewPCG(1, 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/pkg/replicator/harness_test.go
+++ b/pkg/replicator/harness_test.go
@@ -1,6 +1,6 @@
-// The harness drives real cores over a network in memory that loses, repeats,
-// reorders and cuts in one direction, and crashes nodes at every point at
-// which they write.
+// The harness runs cores over an in-memory network that loses, duplicates and
+// reorders messages and blocks links in one direction. It crashes nodes before,
+// between and after their writes.
 
 package replicator
 
@@ -16,222 +16,228 @@
 
 type (
 	testNode struct {
-		id       NodeID
-		core     *Core
-		disk     Saved
-		up       bool
-		frozen   int
-		skew     time.Duration
-		applied  []Entry
-		restored uint64
+		id        NodeID
+		core      *Core
+		disk      PersistentState
+		isRunning bool
+		// frozenSteps is the number of steps for which the node stays paused.
+		frozenSteps   int
+		clockOffset   time.Duration
+		applied       []Entry
+		restoredIndex uint64
 	}
 
+	// pendingRead is an unanswered read. Its read index must be at least minIndex.
 	pendingRead struct {
-		node  NodeID
-		floor uint64
+		node     NodeID
+		minIndex uint64
 	}
 
 	cluster struct {
 		random    *rand.Rand
 		now       time.Duration
 		nodes     map[NodeID]*testNode
-		order     []NodeID
+		nodeOrder []NodeID
 		messages  []Message
-		cuts      map[[2]NodeID]bool
-		committed map[uint64]Entry
-		highest   uint64
-		leaders   map[uint64]NodeID
-		votes     map[string]NodeID
-		acked     map[uint64]Entry
-		tags      map[uint64]string
-		waiting   map[uint64]Proposed
-		reads     map[uint64]pendingRead
-		confirms  int
-		confirmed map[uint64]uint64
-		nextTag   uint64
-		nextRead  uint64
-		faults    []string
-		unsynced  bool
+		// blockedLinks are pairs of a sender and a receiver.
+		blockedLinks map[[2]NodeID]bool
+		// committed is keyed by index, leaders by term, votes by "voter@term", acked and proposedValues by the tag of the proposal.
+		committed         map[uint64]Entry
+		highestAckedIndex uint64
+		leaders           map[uint64]NodeID
+		votes             map[string]NodeID
+		acked             map[uint64]Entry
+		proposedValues    map[uint64]string
+		pendingProposals  map[uint64]ProposalResult
+		pendingReads      map[uint64]pendingRead
+		completedReads    int
+		readIndexes       map[uint64]uint64
+		lastTag           uint64
+		lastReadID        uint64
+		violations        []string
+		// dropsWrites makes the nodes lose all writes, to test the checks of the harness.
+		dropsWrites bool
 	}
 )
 
 func newCluster(seed uint64, size int) *cluster {
 	c := &cluster{
-		random: rand.New(rand.NewPCG(seed, 1)), nodes: map[NodeID]*testNode{}, cuts: map[[2]NodeID]bool{},
+		random: rand.New(rand.NewPCG(seed, 1)), nodes: map[NodeID]*testNode{}, blockedLinks: map[[2]NodeID]bool{},
 		committed: map[uint64]Entry{}, leaders: map[uint64]NodeID{}, votes: map[string]NodeID{}, acked: map[uint64]Entry{},
-		tags: map[uint64]string{}, waiting: map[uint64]Proposed{}, reads: map[uint64]pendingRead{}, confirmed: map[uint64]uint64{},
+		proposedValues: map[uint64]string{}, pendingProposals: map[uint64]ProposalResult{}, pendingReads: map[uint64]pendingRead{}, readIndexes: map[uint64]uint64{},
 	}
 	var voters []NodeID
 	for i := range size {
 		voters = append(voters, NodeID(fmt.Sprintf("n%d/first", i+1)))
 	}
 	for _, id := range voters {
-		c.addNode(id, Saved{Snapshot: Snapshot{Config: Config{Voters: voters}}})
+		c.addNode(id, PersistentState{Snapshot: Snapshot{Config: Config{Voters: voters}}})
 	}
 	return c
 }
 
-func (c *cluster) addNode(id NodeID, disk Saved) {
+func (c *cluster) addNode(id NodeID, disk PersistentState) {
 	n := &testNode{id: id, disk: disk}
 	c.nodes[id] = n
-	c.order = append(c.order, id)
+	c.nodeOrder = append(c.nodeOrder, id)
 	c.start(n)
 }
 
 func (c *cluster) start(n *testNode) {
-	core, err := New(n.id, cloneSaved(n.disk), c.now+n.skew, c.random)
+	core, err := New(n.id, cloneSaved(n.disk), c.now+n.clockOffset, c.random)
 	if err != nil {
-		c.fault("start %s: %v", n.id, err)
+		c.reportViolation("start %s: %v", n.id, err)
 		return
 	}
-	n.core, n.up = core, true
+	n.core, n.isRunning = core, true
 	n.applied = nil
-	n.restored = n.disk.Snapshot.Index
+	n.restoredIndex = n.disk.Snapshot.Index
 }
 
-func (c *cluster) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("at %s: ", c.now)+fmt.Sprintf(format, args...))
+func (c *cluster) reportViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("at %s: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// step feeds one input and carries out the output; a crash may come before the writes, or between writes and messages.
+// step passes one input to a node and carries out the output. With mayCrash, the node may crash before, between or after its
+// writes, but before it sends messages.
 func (c *cluster) step(n *testNode, input Input, mayCrash bool) {
-	if !n.up || n.frozen > 0 {
+	if !n.isRunning || n.frozenSteps > 0 {
 		return
 	}
-	out := n.core.Step(input, c.now+n.skew)
-	crash := 0
+	out := n.core.Step(input, c.now+n.clockOffset)
+	crashPoint := 0
 	if mayCrash {
-		crash = c.random.IntN(3)
+		crashPoint = c.random.IntN(3)
 	}
-	if crash == 1 {
-		n.up = false
+	if crashPoint == 1 {
+		n.isRunning = false
 		return
 	}
 	for i, write := range out.Writes {
-		if mayCrash && crash == 2 && c.random.IntN(2) == 0 && i > 0 {
-			n.up = false
+		if mayCrash && crashPoint == 2 && c.random.IntN(2) == 0 && i > 0 {
+			n.isRunning = false
 			return
 		}
-		if !c.unsynced {
+		if !c.dropsWrites {
 			n.save(write)
 		}
 	}
-	if crash == 2 {
-		n.up = false
+	if crashPoint == 2 {
+		n.isRunning = false
 		return
 	}
 	for _, message := range out.Messages {
-		c.watchVote(message)
+		c.checkVote(message)
 		c.messages = append(c.messages, message)
 	}
-	c.take(n, out)
+	c.processOutput(n, out)
 }
 
-func (c *cluster) take(n *testNode, out Output) {
+func (c *cluster) processOutput(n *testNode, out Output) {
 	if out.Restore != nil {
-		n.restored = out.Restore.Index
+		n.restoredIndex = out.Restore.Index
 		n.applied = nil
 	}
 	for _, entry := range out.Committed {
-		c.onCommitted(n, entry)
+		c.recordCommitted(n, entry)
 	}
-	for _, proposed := range out.Proposed {
-		if proposed.Refused == "" {
-			c.waiting[proposed.Tag] = proposed
+	for _, result := range out.ProposalResults {
+		if result.RefusalReason == "" {
+			c.pendingProposals[result.Tag] = result
 		}
 	}
-	for _, confirmed := range out.Confirmed {
-		c.onConfirmed(confirmed)
+	for _, result := range out.ReadIndexResults {
+		c.recordReadIndex(result)
 	}
-	c.watchLeader(n)
+	c.checkLeader(n)
 }
 
-func (c *cluster) onCommitted(n *testNode, entry Entry) {
+func (c *cluster) recordCommitted(n *testNode, entry Entry) {
 	known, ok := c.committed[entry.Index]
 	if ok && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
-		c.fault("%s committed another entry %d: term %d %q, known term %d %q", n.id, entry.Index, entry.Term, entry.Data, known.Term, known.Data)
+		c.reportViolation("%s committed entry %d with term %d and data %q, want term %d and data %q", n.id, entry.Index, entry.Term, entry.Data, known.Term, known.Data)
 	}
-	expected := n.restored + uint64(len(n.applied)) + 1
+	expected := n.restoredIndex + uint64(len(n.applied)) + 1
 	if entry.Index != expected {
-		c.fault("%s applied entry %d, expected %d", n.id, entry.Index, expected)
+		c.reportViolation("%s applied entry %d, want entry %d", n.id, entry.Index, expected)
 	}
 	n.applied = append(n.applied, entry)
 	c.committed[entry.Index] = entry
-	for tag, proposed := range c.waiting {
-		if proposed.Index == entry.Index {
-			delete(c.waiting, tag)
-			if proposed.Term == entry.Term {
+	for tag, proposal := range c.pendingProposals {
+		if proposal.Index == entry.Index {
+			delete(c.pendingProposals, tag)
+			if proposal.Term == entry.Term {
 				c.acked[tag] = entry
-				c.highest = max(c.highest, entry.Index)
+				c.highestAckedIndex = max(c.highestAckedIndex, entry.Index)
 			}
 		}
 	}
 }
 
-func (c *cluster) onConfirmed(confirmed Confirmed) {
-	read, ok := c.reads[confirmed.ID]
+func (c *cluster) recordReadIndex(result ReadIndexResult) {
+	read, ok := c.pendingReads[result.ID]
 	if !ok {
-		c.fault("confirmation %d came twice", confirmed.ID)
+		c.reportViolation("read %d got a second result", result.ID)
 		return
 	}
-	delete(c.reads, confirmed.ID)
-	if !confirmed.OK {
+	delete(c.pendingReads, result.ID)
+	if !result.OK {
 		return
 	}
-	c.confirms++
-	c.confirmed[confirmed.ID] = confirmed.Index
-	if confirmed.Index < read.floor {
-		c.fault("%s confirmed index %d, but %d had been acknowledged before it asked", read.node, confirmed.Index, read.floor)
+	c.completedReads++
+	c.readIndexes[result.ID] = result.Index
+	if result.Index < read.minIndex {
+		c.reportViolation("%s got read index %d, want at least %d, which was acknowledged before the request", read.node, result.Index, read.minIndex)
 	}
 }
 
-func (c *cluster) watchLeader(n *testNode) {
+func (c *cluster) checkLeader(n *testNode) {
 	status := n.core.Status()
 	if status.Role != RoleLeader {
 		return
 	}
 	if other, ok := c.leaders[status.Term]; ok && other != n.id {
-		c.fault("two leaders in term %d: %s and %s", status.Term, other, n.id)
+		c.reportViolation("two leaders in term %d: %s and %s", status.Term, other, n.id)
 	}
 	c.leaders[status.Term] = n.id
 }
 
-func (c *cluster) watchVote(m Message) {
+func (c *cluster) checkVote(m Message) {
 	if m.Kind != MessageVoteReply || !m.Granted {
 		return
 	}
 	key := fmt.Sprintf("%s@%d", m.From, m.Term)
 	if other, ok := c.votes[key]; ok && other != m.To {
-		c.fault("%s voted for %s and %s in term %d", m.From, other, m.To, m.Term)
+		c.reportViolation("%s voted for both %s and %s in term %d", m.From, other, m.To, m.Term)
 	}
 	c.votes[key] = m.To
 }
 
 func (c *cluster) propose(n *testNode, value string) {
-	c.nextTag++
-	c.tags[c.nextTag] = value
-	c.step(n, Propose{Tag: c.nextTag, Data: []byte(value)}, false)
+	c.lastTag++
+	c.proposedValues[c.lastTag] = value
+	c.step(n, Propose{Tag: c.lastTag, Data: []byte(value)}, false)
 }
 
-func (c *cluster) confirm(n *testNode) {
-	if !n.up || n.frozen > 0 {
+func (c *cluster) requestRead(n *testNode) {
+	if !n.isRunning || n.frozenSteps > 0 {
 		return
 	}
-	c.nextRead++
-	c.reads[c.nextRead] = pendingRead{node: n.id, floor: c.highest}
-	c.step(n, Confirm{ID: c.nextRead}, false)
+	c.lastReadID++
+	c.pendingReads[c.lastReadID] = pendingRead{node: n.id, minIndex: c.highestAckedIndex}
+	c.step(n, ReadIndex{ID: c.lastReadID}, false)
 }
 
-func (c *cluster) deliver(i int, keep, mayCrash bool) {
+func (c *cluster) deliver(i int, duplicates, mayCrash bool) {
 	message := c.messages[i]
-	if !keep {
+	if !duplicates {
 		c.messages = append(c.messages[:i], c.messages[i+1:]...)
 	}
-	if c.cuts[[2]NodeID{message.From, message.To}] {
+	if c.blockedLinks[[2]NodeID{message.From, message.To}] {
 		return
 	}
 	if n := c.nodes[message.To]; n != nil {
-		if n.frozen > 0 {
+		if n.frozenSteps > 0 {
 			c.messages = append(c.messages, message)
 		}
 		c.step(n, Receive{Message: cloneMessage(message)}, mayCrash)
@@ -239,41 +245,42 @@
 }
 
 func (c *cluster) compact(n *testNode) {
-	if !n.up || len(n.applied) == 0 {
+	if !n.isRunning || len(n.applied) == 0 {
 		return
 	}
 	index := n.applied[len(n.applied)-1].Index
 	c.step(n, Compact{Index: index, Data: []byte(fmt.Sprint(index))}, false)
 }
 
-// thaw lets frozen nodes go on; the first thing they do may be to answer a reader or an operator.
-func (c *cluster) thaw(steps int) {
-	for _, id := range c.order {
+// resumeFrozen resumes the nodes whose frozen steps have passed. A resumed node gets a read and a proposal before anything else,
+// while its state may be stale.
+func (c *cluster) resumeFrozen(steps int) {
+	for _, id := range c.nodeOrder {
 		n := c.nodes[id]
-		if n == nil || n.frozen == 0 {
+		if n == nil || n.frozenSteps == 0 {
 			continue
 		}
-		n.frozen = max(0, n.frozen-steps)
-		if n.frozen > 0 {
+		n.frozenSteps = max(0, n.frozenSteps-steps)
+		if n.frozenSteps > 0 {
 			continue
 		}
-		c.confirm(n)
+		c.requestRead(n)
 		c.propose(n, "after a freeze")
 	}
 }
 
-// settle heals everything and lets the cluster run until all nodes agree.
+// settle unblocks all links, resumes and restarts all nodes, and runs the cluster for 8 s so that the nodes converge.
 func (c *cluster) settle() {
-	c.cuts = map[[2]NodeID]bool{}
-	c.thaw(math.MaxInt)
-	for _, id := range c.order {
-		if n := c.nodes[id]; n != nil && !n.up {
+	c.blockedLinks = map[[2]NodeID]bool{}
+	c.resumeFrozen(math.MaxInt)
+	for _, id := range c.nodeOrder {
+		if n := c.nodes[id]; n != nil && !n.isRunning {
 			c.start(n)
 		}
 	}
 	for range 800 {
 		c.now += stepTime
-		for _, id := range c.order {
+		for _, id := range c.nodeOrder {
 			if n := c.nodes[id]; n != nil {
 				c.step(n, Tick{}, false)
 			}
@@ -287,23 +294,23 @@
 	}
 }
 
-// checkDurable compares what was acknowledged with what the leader holds in the end.
-func (c *cluster) checkDurable() {
+// checkDurability checks that the leader has committed all acknowledged proposals.
+func (c *cluster) checkDurability() {
 	var leader *testNode
-	for _, id := range c.order {
-		if n := c.nodes[id]; n != nil && n.up && n.core.Leading() {
+	for _, id := range c.nodeOrder {
+		if n := c.nodes[id]; n != nil && n.isRunning && n.core.IsEstablishedLeader() {
 			leader = n
 		}
 	}
 	if leader == nil {
-		c.fault("no leader after everything healed")
+		c.reportViolation("no leader after all failures were repaired, want one")
 		return
 	}
 	commit := leader.core.Status().Commit
 	for tag, entry := range c.acked {
 		known := c.committed[entry.Index]
 		if entry.Index > commit || known.Term != entry.Term {
-			c.fault("acknowledged change %d (%s) at index %d is lost; the leader has committed %d", tag, c.tags[tag], entry.Index, commit)
+			c.reportViolation("acknowledged proposal %d (%s) at index %d is lost: the leader's commit index is %d", tag, c.proposedValues[tag], entry.Index, commit)
 		}
 	}
 }
@@ -335,23 +342,23 @@
 	}
 }
 
-func (c *cluster) up() []*testNode {
+func (c *cluster) runningNodes() []*testNode {
 	var nodes []*testNode
-	for _, id := range c.order {
-		if n := c.nodes[id]; n != nil && n.up {
+	for _, id := range c.nodeOrder {
+		if n := c.nodes[id]; n != nil && n.isRunning {
 			nodes = append(nodes, n)
 		}
 	}
 	return nodes
 }
 
-func (c *cluster) anyNode() *testNode {
-	ids := append([]NodeID(nil), c.order...)
+func (c *cluster) randomNode() *testNode {
+	ids := append([]NodeID(nil), c.nodeOrder...)
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	return c.nodes[ids[c.random.IntN(len(ids))]]
 }
 
-func cloneSaved(s Saved) Saved {
+func cloneSaved(s PersistentState) PersistentState {
 	s.Entries = append([]Entry(nil), s.Entries...)
 	return s
 }
--- a/pkg/replicator/linearizable_test.go
+++ b/pkg/replicator/linearizable_test.go
@@ -9,19 +9,19 @@
 )
 
 type (
-	// registerInput is a change that rests on a version, or a read.
+	// registerInput is a read, or a conditional write that succeeds only at baseVersion.
 	registerInput struct {
-		write bool
-		base  int
-		value string
+		isWrite     bool
+		baseVersion int
+		value       string
 	}
 
-	// registerOutput is what the operator was told.
+	// registerOutput is the answer to an operation. It is unset unless isKnown is true.
 	registerOutput struct {
 		accepted bool
 		version  int
 		value    string
-		known    bool
+		isKnown  bool
 	}
 
 	register struct {
@@ -41,12 +41,12 @@
 	Init: func() any { return register{} },
 	Step: func(state, input, output any) (bool, any) {
 		s, in, out := state.(register), input.(registerInput), output.(registerOutput)
-		if !in.write {
-			return !out.known || (out.version == s.version && out.value == s.value), s
+		if !in.isWrite {
+			return !out.isKnown || (out.version == s.version && out.value == s.value), s
 		}
 		next := register{version: s.version + 1, value: in.value}
-		accepted := in.base == s.version
-		if !out.known {
+		accepted := in.baseVersion == s.version
+		if !out.isKnown {
 			if accepted {
 				return true, next
 			}
@@ -62,97 +62,97 @@
 	},
 }
 
-// TestHistoriesAreLinearizable replays what each node applied into the register and compares all answers.
+// Runs reads and conditional writes on a register under random failures and checks the answers for linearizability.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(25) {
 		c := newCluster(seed, 3)
 		history := newRegisterHistory(c)
 		for i := range 6000 {
 			c.now += stepTime / 4
-			c.thaw(1)
+			c.resumeFrozen(1)
 			history.step(i)
-			if len(c.faults) > 0 {
-				t.Fatalf("seed %d: %s", seed, c.faults[0])
+			if len(c.violations) > 0 {
+				t.Fatalf("seed %d: %s", seed, c.violations[0])
 			}
 		}
 		if !porcupine.CheckOperations(registerModel, history.operations()) {
-			t.Fatalf("seed %d: the answers fit no order", seed)
+			t.Fatalf("seed %d: history of answers is not linearizable", seed)
 		}
-		if history.answered == 0 {
-			t.Fatalf("seed %d: nothing was answered", seed)
+		if history.answeredCount == 0 {
+			t.Fatalf("seed %d: got no answers, want at least one", seed)
 		}
 	}
 }
 
 type registerHistory struct {
-	c        *cluster
-	writes   map[uint64]*operation
-	reads    map[uint64]*operation
-	all      []*operation
-	answered int
+	c             *cluster
+	writes        map[uint64]*operation
+	reads         map[uint64]*operation
+	issued        []*operation
+	answeredCount int
 }
 
 func newRegisterHistory(c *cluster) *registerHistory {
 	return &registerHistory{c: c, writes: map[uint64]*operation{}, reads: map[uint64]*operation{}}
 }
 
-// step does one random step of the cluster, offers a change or a read now and then, and collects answers.
+// step sometimes starts an operation, runs one random step of the cluster and collects the answers.
 func (h *registerHistory) step(i int) {
-	if len(h.all) < 24 && h.c.random.IntN(40) == 0 {
-		h.offer(i)
+	if len(h.issued) < 24 && h.c.random.IntN(40) == 0 {
+		h.startOperation(i)
 	}
 	h.c.randomStep(i)
-	h.collect()
+	h.collectAnswers()
 }
 
-func (h *registerHistory) offer(i int) {
-	for _, n := range h.c.up() {
-		if !n.core.Leading() || n.frozen > 0 {
+func (h *registerHistory) startOperation(i int) {
+	for _, n := range h.c.runningNodes() {
+		if !n.core.IsEstablishedLeader() || n.frozenSteps > 0 {
 			continue
 		}
 		if h.c.random.IntN(2) == 0 {
 			op := &operation{call: h.c.now}
-			h.c.confirm(n)
-			h.reads[h.c.nextRead] = op
-			h.all = append(h.all, op)
+			h.c.requestRead(n)
+			h.reads[h.c.lastReadID] = op
+			h.issued = append(h.issued, op)
 			return
 		}
-		op := &operation{call: h.c.now, input: registerInput{write: true, base: h.replay(n.core.Status().Commit).version, value: fmt.Sprint(i)}}
-		h.c.propose(n, fmt.Sprintf("put %d %s", op.input.base, op.input.value))
-		h.writes[h.c.nextTag] = op
-		h.all = append(h.all, op)
+		op := &operation{call: h.c.now, input: registerInput{isWrite: true, baseVersion: h.registerAt(n.core.Status().Commit).version, value: fmt.Sprint(i)}}
+		h.c.propose(n, fmt.Sprintf("put %d %s", op.input.baseVersion, op.input.value))
+		h.writes[h.c.lastTag] = op
+		h.issued = append(h.issued, op)
 		return
 	}
 }
 
-func (h *registerHistory) collect() {
+func (h *registerHistory) collectAnswers() {
 	for tag, entry := range h.c.acked {
 		op := h.writes[tag]
 		if op == nil {
 			continue
 		}
 		delete(h.writes, tag)
-		before := h.replay(entry.Index - 1)
-		op.output = registerOutput{known: true, accepted: before.version == op.input.base}
+		before := h.registerAt(entry.Index - 1)
+		op.output = registerOutput{isKnown: true, accepted: before.version == op.input.baseVersion}
 		op.end = h.c.now
-		h.answered++
+		h.answeredCount++
 	}
 	for id, op := range h.reads {
-		if _, waiting := h.c.reads[id]; waiting {
+		if _, waiting := h.c.pendingReads[id]; waiting {
 			continue
 		}
 		delete(h.reads, id)
-		if index, ok := h.c.confirmed[id]; ok {
-			at := h.replay(index)
-			op.output = registerOutput{known: true, version: at.version, value: at.value}
+		if index, ok := h.c.readIndexes[id]; ok {
+			at := h.registerAt(index)
+			op.output = registerOutput{isKnown: true, version: at.version, value: at.value}
 			op.end = h.c.now
-			h.answered++
+			h.answeredCount++
 		}
 	}
 }
 
-// replay returns the register after the committed entries up to index.
-func (h *registerHistory) replay(index uint64) register {
+// registerAt returns the register after the committed entries up to index.
+func (h *registerHistory) registerAt(index uint64) register {
 	var r register
 	for i := uint64(1); i <= index; i++ {
 		var base int
@@ -164,12 +164,12 @@
 	return r
 }
 
-// operations returns the history; what was never answered may have taken effect at any later time.
+// operations returns the history. An operation without an answer may take effect at any later time, so it ends after the history.
 func (h *registerHistory) operations() []porcupine.Operation {
-	operations := make([]porcupine.Operation, 0, len(h.all))
-	for i, op := range h.all {
+	operations := make([]porcupine.Operation, 0, len(h.issued))
+	for i, op := range h.issued {
 		end := op.end
-		if !op.output.known {
+		if !op.output.isKnown {
 			end = h.c.now + time.Hour
 		}
 		operations = append(operations, porcupine.Operation{
--- a/pkg/replicator/log.go
+++ b/pkg/replicator/log.go
@@ -5,18 +5,19 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// entryLog is the part of the log after the snapshot.
+// entryLog is the latest snapshot and the log entries after it.
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry
-	config   Config
-	configAt uint64
+	// config is the newest config in the log, from the entry or the snapshot at configIndex.
+	config      Config
+	configIndex uint64
 }
 
-func newEntryLog(saved Saved) (*entryLog, error) {
-	log := &entryLog{snapshot: saved.Snapshot, config: saved.Snapshot.Config, configAt: saved.Snapshot.Index}
+func newEntryLog(saved PersistentState) (*entryLog, error) {
+	log := &entryLog{snapshot: saved.Snapshot, config: saved.Snapshot.Config, configIndex: saved.Snapshot.Index}
 	log.entries = append(log.entries, saved.Entries...)
-	return log, log.findConfig(log.entries)
+	return log, log.loadConfig(log.entries)
 }
 
 func (l *entryLog) firstIndex() uint64 { return l.snapshot.Index + 1 }
@@ -28,7 +29,7 @@
 	return term
 }
 
-// term returns the term of an entry, and false where the log does not have it.
+// term returns the term of the entry at index, or false if the entry is neither in the log nor the last of the snapshot.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -46,25 +47,25 @@
 	return append([]Entry(nil), l.entries[from-l.firstIndex():to-l.firstIndex()+1]...)
 }
 
-// add appends entries and drops what stood from their first index on.
-func (l *entryLog) add(entries []Entry) {
+// truncateAndAppend drops the entries from the first new index on, then appends the new entries.
+func (l *entryLog) truncateAndAppend(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	first := entries[0].Index
-	keep := first - l.firstIndex()
-	l.entries = append(l.entries[:keep:keep], entries...)
-	if l.configAt >= first {
-		l.config, l.configAt = l.snapshot.Config, l.snapshot.Index
-		_ = l.findConfig(l.entries)
+	keepCount := first - l.firstIndex()
+	l.entries = append(l.entries[:keepCount:keepCount], entries...)
+	if l.configIndex >= first {
+		l.config, l.configIndex = l.snapshot.Config, l.snapshot.Index
+		_ = l.loadConfig(l.entries)
 		return
 	}
-	_ = l.findConfig(entries)
+	_ = l.loadConfig(entries)
 }
 
 func (l *entryLog) compact(index uint64, data []byte) Snapshot {
 	term, _ := l.term(index)
-	snapshot := Snapshot{Index: index, Term: term, Config: l.configUpTo(index), Data: data}
+	snapshot := Snapshot{Index: index, Term: term, Config: l.configAsOf(index), Data: data}
 	l.entries = append([]Entry(nil), l.entries[index-l.firstIndex()+1:]...)
 	l.snapshot = snapshot
 	return snapshot
@@ -74,11 +75,11 @@
 	l.snapshot = snapshot
 	l.entries = nil
 	l.config = snapshot.Config
-	l.configAt = snapshot.Index
+	l.configIndex = snapshot.Index
 }
 
-// findConfig takes the last config among the entries.
-func (l *entryLog) findConfig(entries []Entry) error {
+// loadConfig sets the config to the last one in entries, if there is any.
+func (l *entryLog) loadConfig(entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != EntryConfig {
 			continue
@@ -87,12 +88,12 @@
 		if err != nil {
 			return err
 		}
-		l.config, l.configAt = config, entry.Index
+		l.config, l.configIndex = config, entry.Index
 	}
 	return nil
 }
 
-func (l *entryLog) configUpTo(index uint64) Config {
+func (l *entryLog) configAsOf(index uint64) Config {
 	config := l.snapshot.Config
 	for _, entry := range l.entries {
 		if entry.Kind != EntryConfig || entry.Index > index {
@@ -105,13 +106,13 @@
 	return config
 }
 
-// EncodeConfig returns the log form of a config.
+// EncodeConfig returns the encoding of a config in log entries.
 func EncodeConfig(config Config) ([]byte, error) {
 	data, err := msgpack.Marshal(config)
 	return data, errors.Wrap(err, "encode config")
 }
 
-// DecodeConfig returns the config held by data, or an error when data is not one.
+// DecodeConfig returns the config encoded in data, or an error if data is invalid.
 func DecodeConfig(data []byte) (Config, error) {
 	var config Config
 	err := msgpack.Unmarshal(data, &config)
--- a/pkg/replicator/message.go
+++ b/pkg/replicator/message.go
@@ -1,52 +1,51 @@
-// Messages, inputs and outputs of the core. The caller persists and syncs
-// the writes of an output before it sends its messages or acts on its
-// committed entries.
+// The messages, inputs and outputs of Core. The caller must persist and sync the
+// writes of an output before it sends the messages or applies the committed entries.
 
 package replicator
 
 import "time"
 
 const (
-	// EntryCommand holds a command of the state machine.
+	// EntryCommand is an entry with a command for the state machine.
 	EntryCommand EntryKind = iota
-	// EntryConfig holds a Config.
+	// EntryConfig is an entry with an encoded Config.
 	EntryConfig
-	// EntryEmpty starts the term of a leader.
-	EntryEmpty
+	// EntryNoOp is an entry without data that a new leader appends at the start of its term.
+	EntryNoOp
 )
 
 const (
-	// MessagePreVote asks whether a vote would be given.
+	// MessagePreVote asks whether the receiver would grant a vote.
 	MessagePreVote MessageKind = iota + 1
 	// MessagePreVoteReply answers MessagePreVote.
 	MessagePreVoteReply
-	// MessageVote asks for a vote.
+	// MessageVote requests a vote.
 	MessageVote
 	// MessageVoteReply answers MessageVote.
 	MessageVoteReply
-	// MessageAppend carries entries, or none as a heartbeat.
+	// MessageAppend carries log entries. Without entries it is a heartbeat.
 	MessageAppend
 	// MessageAppendReply answers MessageAppend and MessageSnapshot.
 	MessageAppendReply
-	// MessageSnapshot carries a snapshot to a follower that lags too far.
+	// MessageSnapshot carries a snapshot to a follower that needs entries the leader has compacted.
 	MessageSnapshot
-	// MessageConfirm asks the leader for an index that is fresh after the request.
-	MessageConfirm
-	// MessageConfirmReply answers MessageConfirm.
-	MessageConfirmReply
+	// MessageReadIndex requests a read index from the leader.
+	MessageReadIndex
+	// MessageReadIndexReply answers MessageReadIndex.
+	MessageReadIndexReply
 )
 
 type (
-	// NodeID names a control instance together with its disk.
+	// NodeID identifies a control instance together with its disk.
 	NodeID string
 
-	// EntryKind says what an entry holds.
+	// EntryKind is the type of a log entry.
 	EntryKind uint8
 
-	// MessageKind says what a message is.
+	// MessageKind is the type of a message.
 	MessageKind uint8
 
-	// Entry is one record of the log.
+	// Entry is a log entry.
 	Entry struct {
 		Index uint64
 		Term  uint64
@@ -54,13 +53,13 @@
 		Data  []byte
 	}
 
-	// Config lists who votes and who only follows.
+	// Config lists the voters and the learners, which replicate the log without voting.
 	Config struct {
 		Voters   []NodeID
 		Learners []NodeID
 	}
 
-	// Snapshot stands for the log up to its index.
+	// Snapshot is the state of the state machine and the config after the entry at Index, which has the given Term.
 	Snapshot struct {
 		Index  uint64
 		Term   uint64
@@ -68,109 +67,119 @@
 		Data   []byte
 	}
 
-	// Message goes from one node to another.
+	// Message is a message between two nodes. Which fields are set depends on its Kind.
 	Message struct {
-		Kind      MessageKind
-		From      NodeID
-		To        NodeID
-		Term      uint64
+		Kind MessageKind
+		From NodeID
+		To   NodeID
+		Term uint64
+		// LastIndex and LastTerm are the index and the term of a candidate's last entry, or of the entry before Entries.
 		LastIndex uint64
 		LastTerm  uint64
 		Granted   bool
 		Entries   []Entry
-		Commit    uint64
-		Match     uint64
-		Rejected  bool
-		Round     uint64
-		Snapshot  *Snapshot
+		// Commit is the commit index of the leader.
+		Commit uint64
+		// Match is the last index at which the sender's log matches the leader's. In a rejection it is the highest
+		// index at which they may match.
+		Match    uint64
+		Rejected bool
+		// Round is the number of the leader's round of heartbeats. Replies repeat it.
+		Round    uint64
+		Snapshot *Snapshot
+		// ConfirmID identifies a read-index request.
 		ConfirmID uint64
-		Index     uint64
+		// Index is the read index.
+		Index uint64
 	}
 
-	// Input is what happens to a core; it is Tick, Receive, Propose, ProposeConfig, Confirm or Compact.
+	// Input is an event for Core.Step: a Tick, Receive, Propose, ProposeConfig, ReadIndex or Compact.
 	Input interface {
 		isInput()
 	}
 
-	// Tick lets time-outs pass.
+	// Tick checks the timeouts against the current time.
 	Tick struct{}
 
-	// Receive hands over a message.
+	// Receive delivers a message from another node.
 	Receive struct {
 		Message Message
 	}
 
-	// Propose appends a command where the core leads.
+	// Propose appends a command to the log if this node is the leader. Its result carries the same Tag.
 	Propose struct {
 		Tag  uint64
 		Data []byte
 	}
 
-	// ProposeConfig changes one member where the core leads.
+	// ProposeConfig changes one member if this node is the leader. Its result carries the same Tag.
 	ProposeConfig struct {
 		Tag    uint64
 		Config Config
 	}
 
-	// Confirm asks for an index that is fresh after this moment.
-	Confirm struct {
+	// ReadIndex requests a read index: an index that is at least as high as every index committed before the request.
+	ReadIndex struct {
 		ID uint64
 	}
 
-	// Compact drops the log up to an index that a snapshot of the state machine covers.
+	// Compact replaces the log up to an applied index by a snapshot of the state machine.
 	Compact struct {
 		Index uint64
 		Data  []byte
 	}
 
-	// Write is what must be on disk before messages leave; it is SaveVote, SaveEntries or SaveSnapshot.
+	// Write is a change to the persistent state: a SaveVote, SaveEntries or SaveSnapshot.
 	Write interface {
 		isWrite()
 	}
 
-	// SaveVote records the term and the vote in it.
+	// SaveVote saves the current term and the node voted for in it.
 	SaveVote struct {
 		Term uint64
 		Vote NodeID
 	}
 
-	// SaveEntries appends entries and drops any entries from the first index on.
+	// SaveEntries drops the saved entries from the first new index on, then appends the new entries.
 	SaveEntries struct {
 		Entries []Entry
 	}
 
-	// SaveSnapshot replaces the log up to the snapshot.
+	// SaveSnapshot replaces the log up to the index of the snapshot.
 	SaveSnapshot struct {
 		Snapshot Snapshot
 	}
 
-	// Proposed tells where a proposal went; an empty Refused means that it is in the leader's log.
-	Proposed struct {
-		Tag     uint64
-		Index   uint64
-		Term    uint64
-		Refused string
+	// ProposalResult is the result of a Propose or ProposeConfig. If RefusalReason is empty, the entry was appended to the leader's
+	// log at Index in Term.
+	ProposalResult struct {
+		Tag           uint64
+		Index         uint64
+		Term          uint64
+		RefusalReason string
 	}
 
-	// Confirmed answers a Confirm; OK is false where no majority answered.
-	Confirmed struct {
+	// ReadIndexResult is the result of a ReadIndex request. If OK is false, no leader is known, or the leader or a majority did not
+	// answer in time.
+	ReadIndexResult struct {
 		ID    uint64
 		Index uint64
 		OK    bool
 	}
 
-	// Output is what the caller has to do after a step, in the order of its fields.
+	// Output lists the actions that the caller has to carry out after a step, in the order of the fields.
 	Output struct {
-		Writes    []Write
-		Messages  []Message
-		Restore   *Snapshot
-		Committed []Entry
-		Proposed  []Proposed
-		Confirmed []Confirmed
+		Writes   []Write
+		Messages []Message
+		// Restore is a snapshot from the leader that replaces the state of the state machine.
+		Restore          *Snapshot
+		Committed        []Entry
+		ProposalResults  []ProposalResult
+		ReadIndexResults []ReadIndexResult
 	}
 
-	// Saved is what was found on disk.
-	Saved struct {
+	// PersistentState is the persistent state of a node, as read from its disk.
+	PersistentState struct {
 		Term     uint64
 		Vote     NodeID
 		Snapshot Snapshot
@@ -179,18 +188,19 @@
 )
 
 const (
-	// HeartbeatInterval is the time between rounds of a leader without other work.
+	// HeartbeatInterval is the time between the heartbeats of an idle leader.
 	HeartbeatInterval = 100 * time.Millisecond
-	// ElectionTimeout is the shortest time without a leader before an election; the longest is twice that.
+	// ElectionTimeout is the shortest time without a leader before an election. The longest time is twice as long.
 	ElectionTimeout = 500 * time.Millisecond
-	// firstSpread is the time after a start in which the first election begins: the node whose start makes a majority is
-	// elected at once, and a pre-vote does not disturb a leader that lives.
-	firstSpread = 40 * time.Millisecond
-	// soonElection is the shortest time before the next election after a split vote: a leader that lives sends within a
-	// heartbeat interval.
-	soonElection = 11 * HeartbeatInterval / 10
-	// soonSpread is the random part on top, many times the way of a vote and of a sync: 10 ms.
-	soonSpread = 150 * time.Millisecond
+	// initialElectionJitter is the longest time between the start of a node and its first election. It is short so that the
+	// node whose start completes a majority is elected at once. The pre-vote keeps it from disrupting an active leader.
+	initialElectionJitter = 40 * time.Millisecond
+	// electionRetryTimeout is the shortest time before the next election after a split vote. It exceeds HeartbeatInterval because
+	// an active leader sends a message within that interval.
+	electionRetryTimeout = 11 * HeartbeatInterval / 10
+	// electionRetryJitter is the range of the random delay added to electionRetryTimeout. It is many times the 10 ms that a vote
+	// takes, including the sync to disk.
+	electionRetryJitter = 150 * time.Millisecond
 
 	maxEntriesPerMessage = 512
 )
@@ -199,24 +209,24 @@
 func (Receive) isInput()       {}
 func (Propose) isInput()       {}
 func (ProposeConfig) isInput() {}
-func (Confirm) isInput()       {}
+func (ReadIndex) isInput()     {}
 func (Compact) isInput()       {}
 
 func (SaveVote) isWrite()     {}
 func (SaveEntries) isWrite()  {}
 func (SaveSnapshot) isWrite() {}
 
-// Voter tells whether the node votes.
-func (c Config) Voter(id NodeID) bool { return contains(c.Voters, id) }
+// HasVoter reports whether the config lists the node as a voter.
+func (c Config) HasVoter(id NodeID) bool { return contains(c.Voters, id) }
 
-// Learner tells whether the node follows without a vote.
-func (c Config) Learner(id NodeID) bool { return contains(c.Learners, id) }
+// HasLearner reports whether the config lists the node as a learner.
+func (c Config) HasLearner(id NodeID) bool { return contains(c.Learners, id) }
 
-func (c Config) all() []NodeID {
+func (c Config) members() []NodeID {
 	return append(append([]NodeID(nil), c.Voters...), c.Learners...)
 }
 
-func (c Config) majority() int { return len(c.Voters)/2 + 1 }
+func (c Config) quorum() int { return len(c.Voters)/2 + 1 }
 
 func contains(ids []NodeID, id NodeID) bool {
 	for _, other := range ids {
--- a/pkg/replicator/replication.go
+++ b/pkg/replicator/replication.go
@@ -2,55 +2,57 @@
 
 func (c *Core) propose(tag uint64, entry Entry) {
 	if c.role != RoleLeader {
-		c.out.Proposed = append(c.out.Proposed, Proposed{Tag: tag, Refused: "not the leader"})
+		c.output.ProposalResults = append(c.output.ProposalResults, ProposalResult{Tag: tag, RefusalReason: "not the leader"})
 		return
 	}
-	index := c.appendOwn(entry)
-	c.out.Proposed = append(c.out.Proposed, Proposed{Tag: tag, Index: index, Term: c.term})
+	index := c.appendAsLeader(entry)
+	c.output.ProposalResults = append(c.output.ProposalResults, ProposalResult{Tag: tag, Index: index, Term: c.term})
 }
 
-// proposeConfig changes one member at a time, and makes a voter only of a learner that holds everything committed.
+// proposeConfig appends a config that changes at most one voter and promotes only a learner that has all committed entries.
 func (c *Core) proposeConfig(in ProposeConfig) {
-	if refused := c.refuseConfig(in.Config); refused != "" {
-		c.out.Proposed = append(c.out.Proposed, Proposed{Tag: in.Tag, Refused: refused})
+	if reason := c.configRefusal(in.Config); reason != "" {
+		c.output.ProposalResults = append(c.output.ProposalResults, ProposalResult{Tag: in.Tag, RefusalReason: reason})
 		return
 	}
 	data, err := EncodeConfig(in.Config)
 	if err != nil {
-		c.out.Proposed = append(c.out.Proposed, Proposed{Tag: in.Tag, Refused: err.Error()})
+		c.output.ProposalResults = append(c.output.ProposalResults, ProposalResult{Tag: in.Tag, RefusalReason: err.Error()})
 		return
 	}
 	c.propose(in.Tag, Entry{Kind: EntryConfig, Data: data})
 }
 
-func (c *Core) refuseConfig(config Config) string {
+// configRefusal returns why a config cannot be proposed now, or an empty string.
+func (c *Core) configRefusal(config Config) string {
 	switch {
 	case c.role != RoleLeader:
 		return "not the leader"
-	case !c.Leading():
+	case !c.IsEstablishedLeader():
 		return "the leader has not committed an entry of its term yet"
-	case c.commit < c.log.configAt:
+	case c.commit < c.log.configIndex:
 		return "an earlier change of the members is not committed yet"
 	case len(config.Voters) == 0:
 		return "the change leaves no voter"
-	case changed(c.log.config.Voters, config.Voters)+changed(c.log.config.Learners, config.Learners) > 2:
+	case countChanges(c.log.config.Voters, config.Voters)+countChanges(c.log.config.Learners, config.Learners) > 2:
 		return "the change touches more than one member"
-	case changed(c.log.config.Voters, config.Voters) > 1:
+	case countChanges(c.log.config.Voters, config.Voters) > 1:
 		return "the change touches more than one voter"
 	}
 	for _, id := range config.Voters {
-		if c.log.config.Voter(id) {
+		if c.log.config.HasVoter(id) {
 			continue
 		}
 		p := c.progress[id]
-		if !c.log.config.Learner(id) || p == nil || p.match < c.commit {
+		if !c.log.config.HasLearner(id) || p == nil || p.matchIndex < c.commit {
 			return "the new voter does not hold everything committed yet"
 		}
 	}
 	return ""
 }
 
-func changed(before, after []NodeID) int {
+// countChanges returns the number of nodes that are in only one of the two lists.
+func countChanges(before, after []NodeID) int {
 	count := 0
 	for _, id := range before {
 		if !contains(after, id) {
@@ -65,50 +67,51 @@
 	return count
 }
 
-func (c *Core) appendOwn(entry Entry) uint64 {
+func (c *Core) appendAsLeader(entry Entry) uint64 {
 	entry.Index = c.log.lastIndex() + 1
 	entry.Term = c.term
-	c.store([]Entry{entry})
-	c.trackMembers()
+	c.appendEntries([]Entry{entry})
+	c.updateProgress()
 	c.advanceCommit()
 	c.broadcast()
 	return entry.Index
 }
 
-func (c *Core) store(entries []Entry) {
-	c.log.add(entries)
-	c.out.Writes = append(c.out.Writes, SaveEntries{Entries: entries})
+func (c *Core) appendEntries(entries []Entry) {
+	c.log.truncateAndAppend(entries)
+	c.output.Writes = append(c.output.Writes, SaveEntries{Entries: entries})
 }
 
-// broadcast sends each node what it lacks and starts the round that waits.
+// broadcast starts a new round of heartbeats and sends every other member the entries that it has not been sent.
 func (c *Core) broadcast() {
 	if c.role != RoleLeader {
 		return
 	}
-	c.beatAt = c.now + HeartbeatInterval
-	c.rounds.start()
-	for _, id := range c.log.config.all() {
+	c.heartbeatAt = c.now + HeartbeatInterval
+	c.readRounds.start()
+	for _, id := range c.log.config.members() {
 		if id != c.id {
 			c.sendAppend(id)
 		}
 	}
-	c.rounds.conclude(c)
+	c.readRounds.completeInFlight(c)
 }
 
+// sendAppend sends the next entries to a node, or the snapshot if the log no longer holds the entry before them.
 func (c *Core) sendAppend(to NodeID) {
 	p := c.progress[to]
-	prevTerm, ok := c.log.term(p.next - 1)
+	prevTerm, ok := c.log.term(p.nextIndex - 1)
 	if !ok {
 		snapshot := c.log.snapshot
-		c.send(Message{Kind: MessageSnapshot, To: to, Snapshot: &snapshot, Round: c.rounds.current})
+		c.send(Message{Kind: MessageSnapshot, To: to, Snapshot: &snapshot, Round: c.readRounds.lastRound})
 		return
 	}
-	last := min(c.log.lastIndex(), p.next+maxEntriesPerMessage-1)
+	last := min(c.log.lastIndex(), p.nextIndex+maxEntriesPerMessage-1)
 	c.send(Message{
-		Kind: MessageAppend, To: to, LastIndex: p.next - 1, LastTerm: prevTerm,
-		Entries: c.log.slice(p.next, last), Commit: c.commit, Round: c.rounds.current,
+		Kind: MessageAppend, To: to, LastIndex: p.nextIndex - 1, LastTerm: prevTerm,
+		Entries: c.log.slice(p.nextIndex, last), Commit: c.commit, Round: c.readRounds.lastRound,
 	})
-	p.next = last + 1
+	p.nextIndex = last + 1
 }
 
 func (c *Core) onAppend(m Message) {
@@ -126,18 +129,18 @@
 		c.replyAppend(m, min(c.log.lastIndex(), m.LastIndex-1), true)
 		return
 	}
-	c.storeNew(m.Entries)
+	c.appendMissing(m.Entries)
 	match := m.LastIndex + uint64(len(m.Entries))
 	c.commit = max(c.commit, min(m.Commit, match))
 	c.replyAppend(m, match, false)
 }
 
-// storeNew stores the entries from the first one that differs.
-func (c *Core) storeNew(entries []Entry) {
+// appendMissing appends the entries from the first one on that the log does not hold with the same term.
+func (c *Core) appendMissing(entries []Entry) {
 	for i, entry := range entries {
 		term, ok := c.log.term(entry.Index)
 		if !ok || term != entry.Term {
-			c.store(entries[i:])
+			c.appendEntries(entries[i:])
 			return
 		}
 	}
@@ -148,8 +151,8 @@
 		c.becomeFollower(c.term, leader)
 	}
 	c.leader = leader
-	c.heardAt = c.now
-	c.resetElection()
+	c.leaderContactAt = c.now
+	c.resetElectionTimer()
 }
 
 func (c *Core) replyAppend(m Message, match uint64, rejected bool) {
@@ -161,34 +164,35 @@
 	if c.role != RoleLeader || m.Term != c.term || p == nil {
 		return
 	}
-	p.heardAt = c.now
-	p.round = max(p.round, m.Round)
+	p.lastContactAt = c.now
+	p.ackedRound = max(p.ackedRound, m.Round)
 	if m.Rejected {
-		c.resend(p, m)
-	} else if m.Match > p.match {
-		p.match = m.Match
-		p.next = max(p.next, p.match+1)
+		c.retransmit(p, m)
+	} else if m.Match > p.matchIndex {
+		p.matchIndex = m.Match
+		p.nextIndex = max(p.nextIndex, p.matchIndex+1)
 		c.advanceCommit()
 	}
 	if c.role != RoleLeader {
 		return
 	}
-	if p.next <= c.log.lastIndex() && !m.Rejected {
+	if p.nextIndex <= c.log.lastIndex() && !m.Rejected {
 		c.sendAppend(m.From)
 	}
-	c.rounds.conclude(c)
+	c.readRounds.completeInFlight(c)
 }
 
-// resend answers a rejection with what the node lacks. A node that comes back rejects all that was sent to it meanwhile:
-// one answer in a heartbeat is enough, unless a rejection says that the node lacks earlier entries.
-func (c *Core) resend(p *progress, m Message) {
-	from := max(p.match+1, min(p.next, m.Match+1))
-	if p.resentFrom > 0 && from >= p.resentFrom && c.now < p.resentAt+HeartbeatInterval {
+// retransmit sends a node the missing entries after a rejection. A node that resumes after a pause rejects every message sent to it
+// in the meantime, so retransmissions are limited to one per heartbeat interval, unless a rejection shows that earlier entries are
+// missing.
+func (c *Core) retransmit(p *progress, m Message) {
+	firstIndex := max(p.matchIndex+1, min(p.nextIndex, m.Match+1))
+	if p.retransmitIndex > 0 && firstIndex >= p.retransmitIndex && c.now < p.retransmitAt+HeartbeatInterval {
 		return
 	}
-	p.next = from
+	p.nextIndex = firstIndex
 	c.sendAppend(m.From)
-	p.resentFrom, p.resentAt = from, c.now
+	p.retransmitIndex, p.retransmitAt = firstIndex, c.now
 }
 
 func (c *Core) onSnapshot(m Message) {
@@ -201,8 +205,8 @@
 		snapshot := *m.Snapshot
 		c.log.restore(snapshot)
 		c.commit, c.applied = snapshot.Index, snapshot.Index
-		c.out.Writes = append(c.out.Writes, SaveSnapshot{Snapshot: snapshot})
-		c.out.Restore = &snapshot
+		c.output.Writes = append(c.output.Writes, SaveSnapshot{Snapshot: snapshot})
+		c.output.Restore = &snapshot
 	}
 	c.replyAppend(m, c.commit, false)
 }
--- a/pkg/replicator/stateful_test.go
+++ b/pkg/replicator/stateful_test.go
@@ -14,27 +14,27 @@
 const (
 	stepsPerRun = 12000
 	fixedSeed   = 20261204
-	runsInCI    = 300
+	defaultRuns = 300
 )
 
-// TestStateful runs the core through random failures; SOAK_RUNS makes it longer and SOAK_SEED gives other seeds.
+// TestStateful checks the invariants of the core under random failures. SOAK_RUNS sets the number of runs and SOAK_SEED the seed.
 func TestStateful(t *testing.T) {
-	parameters := gopter.DefaultTestParametersWithSeed(seedFromEnvironment(t, "SOAK_SEED", fixedSeed))
-	parameters.MinSuccessfulTests = int(seedFromEnvironment(t, "SOAK_RUNS", runsInCI))
+	parameters := gopter.DefaultTestParametersWithSeed(intFromEnvironment(t, "SOAK_SEED", fixedSeed))
+	parameters.MinSuccessfulTests = int(intFromEnvironment(t, "SOAK_RUNS", defaultRuns))
 	parameters.Workers = 1
 	properties := gopter.NewProperties(parameters)
-	properties.Property("invariants hold under loss, repetition, cuts, crashes and replaced disks", prop.ForAll(
-		func(seed int64) string { return firstFault(runRandomly(uint64(seed), 3)) },
+	properties.Property("invariants hold under message loss and duplication, one-way partitions, crashes and disk replacement", prop.ForAll(
+		func(seed int64) string { return firstViolation(runRandomly(uint64(seed), 3)) },
 		gen.Int64(),
 	))
 	properties.TestingRun(t)
 }
 
-func seedFromEnvironment(t *testing.T, name string, otherwise int64) int64 {
+func intFromEnvironment(t *testing.T, name string, fallback int64) int64 {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -43,30 +43,30 @@
 	return value
 }
 
-func firstFault(c *cluster) string {
-	if len(c.faults) == 0 {
+func firstViolation(c *cluster) string {
+	if len(c.violations) == 0 {
 		return ""
 	}
-	return c.faults[0]
+	return c.violations[0]
 }
 
 func runRandomly(seed uint64, size int) *cluster {
 	c := newCluster(seed, size)
 	for i := range stepsPerRun {
 		c.now += stepTime / 4
-		c.thaw(1)
+		c.resumeFrozen(1)
 		c.randomStep(i)
-		if len(c.faults) > 0 {
+		if len(c.violations) > 0 {
 			return c
 		}
 	}
 	c.settle()
-	c.checkDurable()
+	c.checkDurability()
 	return c
 }
 
 func (c *cluster) randomStep(i int) {
-	n := c.anyNode()
+	n := c.randomNode()
 	switch p := c.random.IntN(10_000); {
 	case p < 6000:
 		for range 3 {
@@ -77,29 +77,29 @@
 	case p < 9000:
 		c.propose(n, fmt.Sprintf("v%d", i))
 	case p < 9500:
-		c.confirm(n)
+		c.requestRead(n)
 	case p < 9550:
 		c.compact(n)
 	case p < 9560:
-		n.up = false
+		n.isRunning = false
 	case p < 9700:
-		if !n.up {
+		if !n.isRunning {
 			c.start(n)
 		}
 	case p < 9720:
-		if n.up {
-			n.up = false
+		if n.isRunning {
+			n.isRunning = false
 			c.start(n)
 		}
 	case p < 9735:
-		n.frozen = 100 + c.random.IntN(900)
+		n.frozenSteps = 100 + c.random.IntN(900)
 	case p < 9750:
-		other := c.anyNode()
-		c.cuts[[2]NodeID{n.id, other.id}] = true
+		other := c.randomNode()
+		c.blockedLinks[[2]NodeID{n.id, other.id}] = true
 	case p < 9800:
-		c.cuts = map[[2]NodeID]bool{}
+		c.blockedLinks = map[[2]NodeID]bool{}
 	case p < 9820:
-		c.replaceDisk(i)
+		c.advanceDiskReplacement(i)
 	default:
 		c.step(n, Tick{}, false)
 	}
@@ -123,10 +123,10 @@
 	}
 }
 
-// replaceDisk takes the next step of replacing the disk of one node: add a fresh one, give it its vote, remove the old one.
-func (c *cluster) replaceDisk(i int) {
-	for _, n := range c.up() {
-		if !n.core.Leading() {
+// advanceDiskReplacement proposes the next step of a disk replacement: add a learner with a new disk, promote it, remove a voter.
+func (c *cluster) advanceDiskReplacement(i int) {
+	for _, n := range c.runningNodes() {
+		if !n.core.IsEstablishedLeader() {
 			continue
 		}
 		config := n.core.Status().Config
@@ -137,18 +137,18 @@
 		case len(config.Voters) > 3:
 			c.proposeConfig(n, Config{Voters: withoutNode(config.Voters, config.Voters[c.random.IntN(len(config.Voters))])})
 		default:
-			fresh := NodeID(fmt.Sprintf("n%d/disk%d", c.random.IntN(3)+1, i))
-			c.addNode(fresh, Saved{})
-			c.proposeConfig(n, Config{Voters: config.Voters, Learners: []NodeID{fresh}})
+			newDisk := NodeID(fmt.Sprintf("n%d/disk%d", c.random.IntN(3)+1, i))
+			c.addNode(newDisk, PersistentState{})
+			c.proposeConfig(n, Config{Voters: config.Voters, Learners: []NodeID{newDisk}})
 		}
 		return
 	}
 }
 
 func (c *cluster) proposeConfig(n *testNode, config Config) {
-	c.nextTag++
-	c.tags[c.nextTag] = "config"
-	c.step(n, ProposeConfig{Tag: c.nextTag, Config: config}, false)
+	c.lastTag++
+	c.proposedValues[c.lastTag] = "config"
+	c.step(n, ProposeConfig{Tag: c.lastTag, Config: config}, false)
 }
 
 func withoutNode(ids []NodeID, id NodeID) []NodeID {
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -97,10 +97,10 @@
 	founders := make([]replicator.NodeID, 0, len(i.settings.Control))
 	addresses := map[string]string{}
 	for _, member := range i.settings.Control {
-		founders = append(founders, journaler.NodeID(member.Instance, journaler.FirstDisk))
+		founders = append(founders, journaler.NodeID(member.Instance, journaler.BootstrapDisk))
 		addresses[member.Instance] = member.Fellow
 	}
-	if journal.Identity().Disk != journaler.FirstDisk {
+	if journal.Identity().Disk != journaler.BootstrapDisk {
 		founders = nil
 	}
 	i.control, err = controller.NewServer(controller.ServerConfig{
--- a/pkg/steward/control.go
+++ b/pkg/steward/control.go
@@ -89,7 +89,7 @@
 		Discovery: &controller.Discovery{Seeds: func() []string { return c.seeds.Load().seeds() }, ExpectedVoters: 2*settings.ToleratedLosses + 1},
 		OnEvent:   c.note,
 	}
-	if c.journal.Identity().Disk == journaler.FirstDisk {
+	if c.journal.Identity().Disk == journaler.BootstrapDisk {
 		config.InitialVoters = []replicator.NodeID{node}
 	}
 	if c.server, err = controller.NewServer(config); err != nil {
@@ -193,12 +193,12 @@
 func (c *Control) now() time.Duration { return time.Since(c.began) }
 
 // openFolder continues the log of the data folder, or makes the folder of a new disk.
-func (c *Control) openFolder() (replicator.Saved, error) {
+func (c *Control) openFolder() (replicator.PersistentState, error) {
 	folder := filepath.Join(c.settings.DataFolder, logFolder)
 	instance := c.settings.linkAddress(c.settings.Host)
 	if _, err := journaler.ReadIdentity(folder); err != nil {
 		if err := c.formatFolder(folder, instance, err); err != nil {
-			return replicator.Saved{}, err
+			return replicator.PersistentState{}, err
 		}
 	}
 	journal, saved, err := journaler.Open(folder, c.settings.Cluster, instance, journaler.WithTornWrites())
