--- a/pkg/assigner/assigner_test.go
+++ b/pkg/assigner/assigner_test.go
@@ -8,7 +8,7 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-func viewOf(t testing.TB, commands ...tabulator.Command) *tabulator.View {
+func newView(t testing.TB, commands ...tabulator.Command) *tabulator.View {
 	t.Helper()
 	machine := tabulator.NewMachine()
 	for _, command := range commands {
@@ -21,7 +21,7 @@
 	return view
 }
 
-func joins(count int) []tabulator.Command {
+func joinCommands(count int) []tabulator.Command {
 	var commands []tabulator.Command
 	for i := range count {
 		commands = append(commands, tabulator.Join{Member: tabulator.MemberFields{
@@ -31,7 +31,7 @@
 	return commands
 }
 
-func leafs(count int) []Leaf {
+func newLeafs(count int) []Leaf {
 	var list []Leaf
 	for i := range count {
 		list = append(list, NewLeaf(LeafID(fmt.Sprintf("leaf-%d", i)), fmt.Sprintf("d%d", i%3)))
@@ -39,112 +39,112 @@
 	return list
 }
 
-func TestOwnersAreNearAndEven(t *testing.T) {
-	m := NewMap(viewOf(t, joins(9)...))
+func TestOwnersAreLocalAndBalanced(t *testing.T) {
+	m := NewMap(newView(t, joinCommands(9)...))
 	counts := map[string]int{}
-	for _, leaf := range leafs(3000) {
+	for _, leaf := range newLeafs(3000) {
 		owner, ok := m.Owner(leaf)
 		if !ok || owner.DataCentre() != leaf.DataCentre() {
-			t.Fatalf("leaf %s in %s has owner %s in %s", leaf.ID(), leaf.DataCentre(), owner.Instance(), owner.DataCentre())
+			t.Fatalf("owner of leaf %s: got %s in data centre %s, want a member in %s", leaf.ID(), owner.Instance(), owner.DataCentre(), leaf.DataCentre())
 		}
 		counts[owner.Instance()]++
 	}
 	for instance, count := range counts {
 		if count < 250 || count > 420 {
-			t.Errorf("%s owns %d of 3000 leafs, about 333 are even", instance, count)
+			t.Errorf("leafs owned by %s: got %d of 3000, want 250 to 420 around an even share of 333", instance, count)
 		}
 	}
 }
 
-func TestOnlyNeededLeafsMove(t *testing.T) {
-	before := viewOf(t, joins(9)...)
-	after := viewOf(t, append(joins(9), tabulator.Remove{Instance: "e4", Incarnation: 1, Reason: tabulator.RemovedExpired})...)
+func TestMembershipChangeMovesOnlyAffectedLeafs(t *testing.T) {
+	before := newView(t, joinCommands(9)...)
+	after := newView(t, append(joinCommands(9), tabulator.Remove{Instance: "e4", Incarnation: 1, Reason: tabulator.RemovedExpired})...)
 	first := NewMap(before)
-	list := leafs(900)
+	list := newLeafs(900)
 	for _, leaf := range list {
 		first.Owner(leaf)
 	}
 	second := first.Next(after)
 	for _, leaf := range list {
-		old, _ := first.Owner(leaf)
-		now, _ := second.Owner(leaf)
-		fresh, _ := NewMap(after).Owner(leaf)
-		if now.ID() != fresh.ID() {
-			t.Fatalf("leaf %s: owner %s after a change, %s when computed afresh", leaf.ID(), now.ID(), fresh.ID())
+		original, _ := first.Owner(leaf)
+		updated, _ := second.Owner(leaf)
+		recomputed, _ := NewMap(after).Owner(leaf)
+		if updated.ID() != recomputed.ID() {
+			t.Fatalf("owner of leaf %s after a membership change: got %s, want %s as in a new map", leaf.ID(), updated.ID(), recomputed.ID())
 		}
-		if old.Instance() != "e4" && old.ID() != now.ID() {
-			t.Fatalf("leaf %s moved from %s to %s without need", leaf.ID(), old.ID(), now.ID())
+		if original.Instance() != "e4" && original.ID() != updated.ID() {
+			t.Fatalf("leaf %s moved from %s to %s, want no move because %s is still a member", leaf.ID(), original.ID(), updated.ID(), original.ID())
 		}
 	}
 }
 
-func TestDrainingMemberOwnsNothingAndIsAskedFirst(t *testing.T) {
-	plain := NewMap(viewOf(t, joins(3)...))
-	draining := NewMap(viewOf(t, append(joins(3), tabulator.Drain{Instance: "e1", Incarnation: 1})...))
-	for _, leaf := range leafs(100) {
-		former, _ := plain.Owner(leaf)
-		owner, ok := draining.Owner(leaf)
+func TestDrainingMemberOwnsNothingAndIsPreviousOwner(t *testing.T) {
+	before := NewMap(newView(t, joinCommands(3)...))
+	after := NewMap(newView(t, append(joinCommands(3), tabulator.Drain{Instance: "e1", Incarnation: 1})...))
+	for _, leaf := range newLeafs(100) {
+		original, _ := before.Owner(leaf)
+		owner, ok := after.Owner(leaf)
 		if !ok || owner.Instance() == "e1" {
-			t.Fatalf("leaf %s is owned by %s", leaf.ID(), owner.Instance())
+			t.Fatalf("owner of leaf %s: got %q, want a member other than the draining e1", leaf.ID(), owner.Instance())
 		}
-		asked, _ := draining.Former(leaf, owner.ID())
-		if former.Instance() == "e1" && asked.Instance() != "e1" {
-			t.Fatalf("leaf %s: %s is asked for it, e1 had it", leaf.ID(), asked.Instance())
+		previous, _ := after.PreviousOwner(leaf, owner.ID())
+		if original.Instance() == "e1" && previous.Instance() != "e1" {
+			t.Fatalf("previous owner of leaf %s: got %s, want e1", leaf.ID(), previous.Instance())
 		}
 	}
 }
 
-func TestFence(t *testing.T) {
-	wait := FenceWait()
+func TestFencePhase(t *testing.T) {
+	timeout := FenceTimeout()
 	tests := []struct {
-		name     string
-		release  *Release
-		at       time.Duration
-		phase    FencePhase
-		inherits bool
+		name       string
+		release    *Release
+		at         time.Duration
+		phase      FencePhase
+		hasRelease bool
 	}{
-		{"closed at first", nil, 0, FenceClosed, false},
-		{"closed just before the wait ends", nil, wait - 1, FenceClosed, false},
-		{"open as cold after the wait", nil, wait, FenceOpen, false},
-		{"open at once after a release", &Release{Open: true, Limit: 2}, 0, FenceOpen, true},
-		{"a release by one that never had it is none", &Release{}, wait - 1, FenceClosed, false},
+		{"closed at the start", nil, 0, FenceClosed, false},
+		{"closed just before the timeout", nil, timeout - 1, FenceClosed, false},
+		{"open and cold at the timeout", nil, timeout, FenceOpen, false},
+		{"open immediately after a release", &Release{WasOpen: true, Limit: 2}, 0, FenceOpen, true},
+		{"release by a member that never had the leaf open is ignored", &Release{}, timeout - 1, FenceClosed, false},
 	}
 	for _, test := range tests {
-		fence := NewFence(0, wait)
+		fence := NewFence(0, timeout)
 		if test.release != nil {
 			fence.OnRelease(*test.release)
 		}
-		_, inherits := fence.Inherited()
-		if phase := fence.Phase(test.at); phase != test.phase || (phase == FenceOpen && inherits != test.inherits) {
-			t.Errorf("%s: phase %d, inherits %t", test.name, phase, inherits)
+		_, hasRelease := fence.Handover()
+		if phase := fence.Phase(test.at); phase != test.phase || (phase == FenceOpen && hasRelease != test.hasRelease) {
+			t.Errorf("%s: got phase %d and release %t, want phase %d and release %t", test.name, phase, hasRelease, test.phase, test.hasRelease)
 		}
 	}
 }
 
-func TestFenceOutlastsTwoLeasesAndTheWork(t *testing.T) {
-	// An owner that missed an epoch and a new owner that missed the next one are each stale by one lease.
-	if FenceWait() < GrantEnd(0)+MaxSubDeadline || FenceWait() < 2*LeaseLength {
-		t.Fatalf("the fence of %s is too short", FenceWait())
+func TestFenceTimeoutCoversStaleLeasesAndRunningRequests(t *testing.T) {
+	// The previous owner and the new owner may each have missed an epoch, so each may be stale by the duration of one lease.
+	if FenceTimeout() < GrantExpiry(0)+MaxLeafRequestTime || FenceTimeout() < 2*LeaseDuration {
+		t.Fatalf("fence timeout: got %s, want at least %s and %s", FenceTimeout(), GrantExpiry(0)+MaxLeafRequestTime, 2*LeaseDuration)
 	}
 }
 
-func TestLeaseCountsFromTheSending(t *testing.T) {
+func TestLeaseStartsWhenRenewalIsSent(t *testing.T) {
 	var lease Lease
 	lease.Renew(10 * time.Second)
 	lease.Renew(9 * time.Second)
-	if !lease.Held(10*time.Second+LeaseLength-1) || lease.Held(10*time.Second+LeaseLength) {
-		t.Fatalf("lease until %s", lease.Until())
+	if !lease.IsHeld(10*time.Second+LeaseDuration-1) || lease.IsHeld(10*time.Second+LeaseDuration) {
+		t.Fatalf("lease expiry: got %s, want %s", lease.ExpiresAt(), 10*time.Second+LeaseDuration)
 	}
-	if GrantEnd(10*time.Second) <= lease.Until() {
-		t.Fatal("the granting side has no margin for drift")
+	if GrantExpiry(10*time.Second) <= lease.ExpiresAt() {
+		t.Fatalf("grant expiry: got %s, want a time after the lease expiry of %s to allow for clock drift", GrantExpiry(10*time.Second), lease.ExpiresAt())
 	}
 }
 
 func BenchmarkOwners(b *testing.B) {
 	for _, members := range []int{25, 250, 2500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			view := viewOf(b, joins(members)...)
-			list := leafs(1000)
+			view := newView(b, joinCommands(members)...)
+			list := newLeafs(1000)
 			for b.Loop() {
 				m := NewMap(view)
 				for _, leaf := range list {
@@ -158,10 +158,10 @@
 func BenchmarkEpoch(b *testing.B) {
 	for _, members := range []int{25, 250, 2500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			before := viewOf(b, joins(members)...)
-			after := viewOf(b, append(joins(members), tabulator.Remove{Instance: "e4", Incarnation: 1})...)
+			before := newView(b, joinCommands(members)...)
+			after := newView(b, append(joinCommands(members), tabulator.Remove{Instance: "e4", Incarnation: 1})...)
 			first := NewMap(before)
-			list := leafs(1000)
+			list := newLeafs(1000)
 			for _, leaf := range list {
 				first.Owner(leaf)
 			}
--- a/pkg/assigner/fence.go
+++ b/pkg/assigner/fence.go
@@ -1,67 +1,68 @@
-// A fence keeps a new owner from sending before the former owner stopped.
-// The former owner releases the leaf, or its lease and the longest deadline
-// of what it may have sent are waited out.
+// A fence keeps a new owner from sending to a leaf while the previous owner
+// may still do so. It opens when the previous owner releases the leaf, or after
+// a timeout that covers the previous owner's lease and the longest request that
+// it may have sent.
 
 package assigner
 
 import "time"
 
 const (
-	// FenceClosed means that the leaf takes nothing yet.
+	// FenceClosed means that the new owner must not send requests to the leaf yet.
 	FenceClosed FencePhase = iota
-	// FenceOpen means that the owner may send.
+	// FenceOpen means that the owner may send requests to the leaf.
 	FenceOpen
 )
 
 type (
-	// FencePhase tells whether the owner may send.
+	// FencePhase is the state of a fence.
 	FencePhase int
 
-	// Fence guards the start of one ownership of one leaf.
+	// Fence blocks requests to a leaf at the start of a new ownership.
 	Fence struct {
-		opensAt time.Duration
-		phase   FencePhase
-		cold    bool
-		release Release
+		timeoutAt  time.Duration
+		phase      FencePhase
+		startsCold bool
+		release    Release
 	}
 
-	// Release is what a former owner hands over with a leaf.
+	// Release is the state of a leaf that its previous owner passes to the next one.
 	Release struct {
-		// Open tells whether the former owner had the leaf open, so that every earlier owner had been fenced.
-		Open bool
-		// Running is the number of requests that may still run.
-		Running int
-		// RunningUntil is the longest remaining time of those requests.
-		RunningUntil time.Duration
-		// Limit is the number of requests that the leaf was given at a time.
+		// WasOpen reports whether the fence of the previous owner was open, which means that no earlier owner can be sending.
+		WasOpen bool
+		// RunningRequests is the number of requests that may still be running at the leaf.
+		RunningRequests int
+		// RemainingRunTime is the longest time that any of those requests may continue to run.
+		RemainingRunTime time.Duration
+		// Limit is the concurrency limit of the leaf, in requests.
 		Limit float64
-		// Latency is the usual time of one request.
+		// Latency is the baseline latency of a request at the leaf.
 		Latency time.Duration
 	}
 )
 
-// NewFence returns a fence that opens by itself after wait.
-func NewFence(now, wait time.Duration) *Fence {
-	return &Fence{opensAt: now + wait, cold: true}
+// NewFence returns a closed fence that opens without a release once timeout has passed.
+func NewFence(now, timeout time.Duration) *Fence {
+	return &Fence{timeoutAt: now + timeout, startsCold: true}
 }
 
-// OnRelease takes the answer of a former owner; an answer from one that never had the leaf open changes nothing.
+// OnRelease opens the fence if the previous owner had the leaf open, and ignores the release otherwise.
 func (f *Fence) OnRelease(release Release) {
-	if f.phase == FenceOpen || !release.Open {
+	if f.phase == FenceOpen || !release.WasOpen {
 		return
 	}
 	f.phase = FenceOpen
-	f.cold = false
+	f.startsCold = false
 	f.release = release
 }
 
-// Phase returns whether the owner may send at the given time.
+// Phase returns the state of the fence at now, opening the fence if its timeout has passed.
 func (f *Fence) Phase(now time.Duration) FencePhase {
-	if f.phase == FenceClosed && now >= f.opensAt {
+	if f.phase == FenceClosed && now >= f.timeoutAt {
 		f.phase = FenceOpen
 	}
 	return f.phase
 }
 
-// Inherited returns what the former owner handed over, and false where the leaf opens as cold.
-func (f *Fence) Inherited() (Release, bool) { return f.release, !f.cold }
+// Handover returns the release of the previous owner, or false if there is none and the leaf must start cold.
+func (f *Fence) Handover() (Release, bool) { return f.release, !f.startsCold }
--- a/pkg/assigner/lease.go
+++ b/pkg/assigner/lease.go
@@ -1,40 +1,41 @@
-// Lease arithmetic. The holder counts from the moment it sent the renewal,
-// the granting side from the moment it answered, and the drift margin covers
-// clocks that run at different speeds.
+// The holder of a lease measures it from the time at which it sent the renewal,
+// and the grantor from the time at which it replied. The grantor also adds a
+// margin for monotonic clocks that run at different rates, so the lease ends
+// at the holder first.
 
 package assigner
 
 import "time"
 
 const (
-	// LeaseLength is how long a lease lasts for its holder.
-	LeaseLength = 1500 * time.Millisecond
-	// MaxSubDeadline is the longest time one request to a leaf may run.
-	MaxSubDeadline = 2 * time.Second
-	// maxDriftPercent is the largest difference in speed between two monotonic clocks.
+	// LeaseDuration is the duration of a lease, measured by its holder.
+	LeaseDuration = 1500 * time.Millisecond
+	// MaxLeafRequestTime is the longest time that one request to a leaf may run.
+	MaxLeafRequestTime = 2 * time.Second
+	// maxDriftPercent is the largest assumed difference in rate between two monotonic clocks.
 	maxDriftPercent = 2
 )
 
-// Lease is a holder's view of its own lease.
+// Lease tracks the expiry of a lease at its holder.
 type Lease struct {
 	until time.Duration
 }
 
-// Renew extends the lease by a confirmed renewal that was sent at sentAt.
+// Renew extends the lease to LeaseDuration after sentAt, the time at which a confirmed renewal was sent.
 func (l *Lease) Renew(sentAt time.Duration) {
-	l.until = max(l.until, sentAt+LeaseLength)
+	l.until = max(l.until, sentAt+LeaseDuration)
 }
 
-// Held tells whether the holder may still act at now.
-func (l *Lease) Held(now time.Duration) bool { return now < l.until }
+// IsHeld reports whether the lease is still valid at now.
+func (l *Lease) IsHeld(now time.Duration) bool { return now < l.until }
 
-// Until returns the end of the lease.
-func (l *Lease) Until() time.Duration { return l.until }
+// ExpiresAt returns the time at which the lease expires.
+func (l *Lease) ExpiresAt() time.Duration { return l.until }
 
-// GrantEnd returns when a lease granted at the given time has surely run out, by the granting side's clock.
-func GrantEnd(grantedAt time.Duration) time.Duration {
-	return grantedAt + LeaseLength + LeaseLength*maxDriftPercent/100
+// GrantExpiry returns the time, by the grantor's clock, at which a lease granted at grantedAt has expired for certain.
+func GrantExpiry(grantedAt time.Duration) time.Duration {
+	return grantedAt + LeaseDuration + LeaseDuration*maxDriftPercent/100
 }
 
-// FenceWait returns how long after an epoch an unreleased leaf is waited out.
-func FenceWait() time.Duration { return GrantEnd(0) + MaxSubDeadline }
+// FenceTimeout returns how long a new owner waits for the release of a leaf before it starts to send without one.
+func FenceTimeout() time.Duration { return GrantExpiry(0) + MaxLeafRequestTime }
--- a/pkg/assigner/map.go
+++ b/pkg/assigner/map.go
@@ -1,6 +1,6 @@
-// A map gives each leaf one owner among the members of an epoch by
-// rendezvous hashing. Members in the data centre of the leaf come first, and
-// a draining member owns nothing.
+// A map assigns each leaf to one of the members of an epoch by rendezvous
+// hashing. Members in the data centre of the leaf rank above all others, and
+// draining members are not assigned any leafs.
 
 package assigner
 
@@ -11,43 +11,44 @@
 )
 
 type (
-	// LeafID names a leaf over all services and data centres.
+	// LeafID identifies a leaf uniquely across all services and data centres.
 	LeafID string
 
-	// Leaf is what the assignment depends on.
+	// Leaf holds the properties of a leaf that determine its owner.
 	Leaf struct {
 		id         LeafID
 		dataCentre string
 	}
 
-	// Map assigns leafs to the members of one epoch; it belongs to one goroutine.
+	// Map assigns leafs to the members of one epoch and caches the result; it is not safe for concurrent use.
 	Map struct {
-		epoch   uint64
-		members []candidate
-		owners  map[LeafID]assigned
+		epoch      uint64
+		candidates []candidate
+		owners     map[LeafID]ownerRecord
 	}
 
+	// candidate is a member with the hash of its instance name.
 	candidate struct {
 		member tabulator.Member
-		seed   uint64
+		hash   uint64
 	}
 
-	// assigned is the owner of a leaf with the rank that made it the owner.
-	assigned struct {
-		leaf  Leaf
-		owner candidate
-		rank  rank
-		found bool
+	// ownerRecord is the owner of a leaf and the rank by which it was selected.
+	ownerRecord struct {
+		leaf     Leaf
+		owner    candidate
+		rank     rank
+		hasOwner bool
 	}
 
-	// rank orders the candidates for one leaf.
+	// rank orders the candidates for one leaf by locality, then by score.
 	rank struct {
-		near  bool
-		score uint64
+		isLocal bool
+		score   uint64
 	}
 )
 
-// NewLeaf returns the leaf with the given identifier and data centre.
+// NewLeaf returns the leaf with the given identifier in the given data centre.
 func NewLeaf(id LeafID, dataCentre string) Leaf {
 	return Leaf{id: id, dataCentre: dataCentre}
 }
@@ -58,108 +59,111 @@
 // DataCentre returns the data centre of the leaf.
 func (l Leaf) DataCentre() string { return l.dataCentre }
 
-// NewMap returns the assignment for the membership in view.
+// NewMap returns a map for the membership in view.
 func NewMap(view *tabulator.View) *Map {
 	members := view.Members()
 	candidates := make([]candidate, 0, len(members))
 	for _, member := range members {
-		candidates = append(candidates, candidate{member: member, seed: xxhash.Sum64String(member.Instance())})
+		candidates = append(candidates, candidate{member: member, hash: xxhash.Sum64String(member.Instance())})
 	}
-	return &Map{epoch: view.Epoch(), members: candidates, owners: map[LeafID]assigned{}}
+	return &Map{epoch: view.Epoch(), candidates: candidates, owners: map[LeafID]ownerRecord{}}
 }
 
-// Next returns the assignment for a later view. A leaf keeps its owner unless that one is gone or a new member ranks higher.
+// Next returns a map for a later view. It reuses the cached owners: a leaf changes its owner only if that member has left
+// or is draining, or if a new member ranks higher.
 func (m *Map) Next(view *tabulator.View) *Map {
 	if view.Epoch() == m.epoch {
 		return m
 	}
 	next := NewMap(view)
-	present := eligible(next.members)
-	before := eligible(m.members)
+	current := eligibleByID(next.candidates)
+	previous := eligibleByID(m.candidates)
 	var added []candidate
-	for id, c := range present {
-		if _, ok := before[id]; !ok {
+	for id, c := range current {
+		if _, ok := previous[id]; !ok {
 			added = append(added, c)
 		}
 	}
-	for id, known := range m.owners {
-		if owner, ok := present[known.owner.member.ID()]; ok && known.found {
-			known.owner = owner
-			next.owners[id] = known.improve(added)
+	for id, record := range m.owners {
+		if owner, ok := current[record.owner.member.ID()]; ok && record.hasOwner {
+			record.owner = owner
+			next.owners[id] = record.withCandidates(added)
 		}
 	}
 	return next
 }
 
-// Epoch returns the epoch of the membership behind the map.
+// Epoch returns the epoch of the membership that the map was computed from.
 func (m *Map) Epoch() uint64 { return m.epoch }
 
-// Owner returns the member that owns the leaf, and false where there is none.
+// Owner returns the member that owns the leaf, or false if no member can own it.
 func (m *Map) Owner(leaf Leaf) (tabulator.Member, bool) {
-	known, ok := m.owners[leaf.id]
+	record, ok := m.owners[leaf.id]
 	if !ok {
-		known = m.best(leaf, func(c candidate) bool { return !c.member.IsDraining() })
-		m.owners[leaf.id] = known
+		record = m.highestRanked(leaf, func(c candidate) bool { return !c.member.IsDraining() })
+		m.owners[leaf.id] = record
 	}
-	return known.owner.member, known.found
+	return record.owner.member, record.hasOwner
 }
 
-// Former returns the member other than self that most likely owned the leaf before self did.
-func (m *Map) Former(leaf Leaf, self tabulator.MemberID) (tabulator.Member, bool) {
-	known := m.best(leaf, func(c candidate) bool { return c.member.ID() != self })
-	return known.owner.member, known.found
+// PreviousOwner returns the member that most likely owned the leaf before self: the highest-ranked other member, which may
+// be draining. It returns false if there is no other member.
+func (m *Map) PreviousOwner(leaf Leaf, self tabulator.MemberID) (tabulator.Member, bool) {
+	record := m.highestRanked(leaf, func(c candidate) bool { return c.member.ID() != self })
+	return record.owner.member, record.hasOwner
 }
 
-func (m *Map) best(leaf Leaf, allowed func(candidate) bool) assigned {
-	best := assigned{leaf: leaf}
-	seed := xxhash.Sum64String(string(leaf.id))
-	for _, c := range m.members {
-		if allowed(c) {
-			best.consider(c, seed)
+func (m *Map) highestRanked(leaf Leaf, isAllowed func(candidate) bool) ownerRecord {
+	best := ownerRecord{leaf: leaf}
+	leafHash := xxhash.Sum64String(string(leaf.id))
+	for _, c := range m.candidates {
+		if isAllowed(c) {
+			best.consider(c, leafHash)
 		}
 	}
 	return best
 }
 
-// improve returns the assignment after more candidates were considered.
-func (a assigned) improve(candidates []candidate) assigned {
+// withCandidates returns the record updated with the candidates that rank higher than the current owner.
+func (r ownerRecord) withCandidates(candidates []candidate) ownerRecord {
 	if len(candidates) == 0 {
-		return a
+		return r
 	}
-	seed := xxhash.Sum64String(string(a.leaf.id))
+	leafHash := xxhash.Sum64String(string(r.leaf.id))
 	for _, c := range candidates {
-		a.consider(c, seed)
+		r.consider(c, leafHash)
 	}
-	return a
+	return r
 }
 
-func (a *assigned) consider(c candidate, leafSeed uint64) {
-	r := rank{near: c.member.DataCentre() == a.leaf.dataCentre, score: mix(c.seed ^ leafSeed)}
-	if a.found && !a.rank.below(r) {
+func (r *ownerRecord) consider(c candidate, leafHash uint64) {
+	candidateRank := rank{isLocal: c.member.DataCentre() == r.leaf.dataCentre, score: mixBits(c.hash ^ leafHash)}
+	if r.hasOwner && !r.rank.isBelow(candidateRank) {
 		return
 	}
-	a.owner, a.rank, a.found = c, r, true
+	r.owner, r.rank, r.hasOwner = c, candidateRank, true
 }
 
-func (r rank) below(other rank) bool {
-	if r.near != other.near {
-		return other.near
+func (r rank) isBelow(other rank) bool {
+	if r.isLocal != other.isLocal {
+		return other.isLocal
 	}
 	return r.score < other.score
 }
 
-// eligible returns the members that may own leafs.
-func eligible(members []candidate) map[tabulator.MemberID]candidate {
-	found := make(map[tabulator.MemberID]candidate, len(members))
-	for _, c := range members {
+// eligibleByID returns the candidates that may own leafs, which are those that are not draining.
+func eligibleByID(candidates []candidate) map[tabulator.MemberID]candidate {
+	eligible := make(map[tabulator.MemberID]candidate, len(candidates))
+	for _, c := range candidates {
 		if !c.member.IsDraining() {
-			found[c.member.ID()] = c
+			eligible[c.member.ID()] = c
 		}
 	}
-	return found
+	return eligible
 }
 
-func mix(x uint64) uint64 {
+// mixBits is the finalizer of SplitMix64.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/pkg/caller/server.go
+++ b/pkg/caller/server.go
@@ -77,7 +77,7 @@
 			return outcome, nil
 		case phase == ticketer.PhaseExpired:
 			return json.Marshal(gone("the ticket has expired"))
-		case phase == ticketer.PhaseFirst:
+		case phase == ticketer.PhaseNew:
 			return s.runFirst(ticket, query)
 		}
 		time.Sleep(pollPause)
@@ -169,7 +169,7 @@
 	case coordinator.OutcomeComplete, coordinator.OutcomePartial:
 		return fiber.StatusOK
 	case coordinator.OutcomeRefused:
-		if answer.Reason == dispatcher.ReasonNoService {
+		if answer.Reason == dispatcher.ReasonUnknownService {
 			return fiber.StatusNotFound
 		}
 		return fiber.StatusServiceUnavailable
--- a/pkg/controller/client.go
+++ b/pkg/controller/client.go
@@ -270,7 +270,7 @@
 	default:
 	}
 	c.lease.Renew(sentAt)
-	c.leaseEnd.Store(int64(c.lease.Until()))
+	c.leaseEnd.Store(int64(c.lease.ExpiresAt()))
 	return nil
 }
 
--- a/pkg/controller/failures_test.go
+++ b/pkg/controller/failures_test.go
@@ -177,8 +177,8 @@
 		change := tier.propose(connected, tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
 		acceptedAt := tier.now()
 		for tier.now() < acceptedAt+time.Hour {
-			if isolated.LeaseHeld(tier.now()) && isolated.View().TableRevision() < change.Revision && tier.now() > acceptedAt+assigner.LeaseLength {
-				t.Fatalf("got a lease on the old table %s after the change, want none after %s", tier.now()-acceptedAt, assigner.LeaseLength)
+			if isolated.LeaseHeld(tier.now()) && isolated.View().TableRevision() < change.Revision && tier.now() > acceptedAt+assigner.LeaseDuration {
+				t.Fatalf("got a lease on the old table %s after the change, want none after %s", tier.now()-acceptedAt, assigner.LeaseDuration)
 			}
 			time.Sleep(time.Minute)
 		}
--- a/pkg/controller/load.go
+++ b/pkg/controller/load.go
@@ -11,7 +11,7 @@
 func (s *sessions) countRequests(now time.Duration) int {
 	total := 0
 	for _, lease := range s.local {
-		if now < assigner.GrantEnd(lease.grantedAt) {
+		if now < assigner.GrantExpiry(lease.grantedAt) {
 			total += lease.requests
 		}
 	}
@@ -26,7 +26,7 @@
 	}
 	total := s.countRequests(now)
 	for from, r := range s.reports {
-		if from != s.instance && now <= assigner.GrantEnd(r.lastContact) {
+		if from != s.instance && now <= assigner.GrantExpiry(r.lastContact) {
 			total += r.requests
 		}
 	}
--- a/pkg/controller/sessions.go
+++ b/pkg/controller/sessions.go
@@ -90,7 +90,7 @@
 func (s *sessions) countByRevision(now time.Duration) map[uint64]int {
 	counts := map[uint64]int{}
 	for _, lease := range s.local {
-		if now < assigner.GrantEnd(lease.grantedAt) {
+		if now < assigner.GrantExpiry(lease.grantedAt) {
 			counts[lease.revision]++
 		}
 	}
@@ -115,13 +115,13 @@
 		if !s.isExpired(id, member.Via, now) || now < s.retryRemovalAt[id] {
 			continue
 		}
-		s.retryRemovalAt[id] = now + assigner.LeaseLength
+		s.retryRemovalAt[id] = now + assigner.LeaseDuration
 		server.config.Timeline.Add("lease-expired", member.Instance, "no renewal through "+member.Via)
 		command := tabulator.Remove{Instance: id.Instance, Incarnation: id.Incarnation, Via: member.Via, Reason: tabulator.RemovedExpired}
 		server.group.Go(func() { _ = server.propose(command) })
 	}
 	for id, lease := range s.local {
-		if now > 2*assigner.GrantEnd(lease.grantedAt)-lease.grantedAt {
+		if now > 2*assigner.GrantExpiry(lease.grantedAt)-lease.grantedAt {
 			delete(s.local, id)
 			delete(s.retryRemovalAt, id)
 		}
@@ -131,13 +131,13 @@
 func (s *sessions) isExpired(id tabulator.MemberID, via string, now time.Duration) bool {
 	if via == s.instance {
 		lastGrant := max(s.startedAt, s.local[id].grantedAt)
-		return now > assigner.GrantEnd(lastGrant)
+		return now > assigner.GrantExpiry(lastGrant)
 	}
 	if !s.isLeader {
 		return false
 	}
 	lastContact := max(s.leaderSince, s.reports[via].lastContact)
-	return now > assigner.GrantEnd(lastContact)
+	return now > assigner.GrantExpiry(lastContact)
 }
 
 // countInForce counts the sessions that act on a view of at least the revision.
@@ -149,7 +149,7 @@
 		}
 	}
 	for from, r := range s.reports {
-		if from == s.instance || now > assigner.GrantEnd(r.lastContact) {
+		if from == s.instance || now > assigner.GrantExpiry(r.lastContact) {
 			continue
 		}
 		for current, count := range r.sessionsByRevision {
@@ -164,7 +164,7 @@
 		changedAt = s.leaderSince
 	}
 	reply.After = now - changedAt
-	reply.Everywhere = reply.Acting >= reply.Members || now > assigner.GrantEnd(changedAt)
+	reply.Everywhere = reply.Acting >= reply.Members || now > assigner.GrantExpiry(changedAt)
 	return reply
 }
 
--- a/pkg/dispatcher/admission.go
+++ b/pkg/dispatcher/admission.go
@@ -1,6 +1,6 @@
-// A query is admitted while the instance holds its lease, the rows of its
-// services give it limits, and its priority is not below what their leafs
-// refuse at present.
+// A query is admitted if the instance holds a valid lease, the table has rows
+// for all of its services, and its priority reaches the overload threshold of
+// the leafs that it needs.
 
 package dispatcher
 
@@ -12,39 +12,40 @@
 	"lovagedeck/pkg/coordinator"
 )
 
-// admit checks that the query may run here and returns its limits.
-func (d *Dispatcher) admit(request Request, begun time.Duration) (coordinator.Limits, string) {
+// admit counts the query as open and returns its limits, or returns the reason for which it is refused.
+func (d *Dispatcher) admit(request Request, startedAt time.Duration) (coordinator.Limits, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.draining {
+	if d.isDraining {
 		return coordinator.Limits{}, ReasonShuttingDown
 	}
-	if !d.config.LeaseHeld(begun) {
-		return coordinator.Limits{}, ReasonNotReady
+	if !d.config.LeaseHeld(startedAt) {
+		return coordinator.Limits{}, ReasonNoLease
 	}
-	if d.config.Transport.CutOff() {
+	if d.config.Transport.IsCutOff() {
 		return coordinator.Limits{}, ReasonCutOff
 	}
-	limits, ok := d.limits(request, begun)
+	limits, ok := d.limitsFor(request, startedAt)
 	if !ok {
-		return coordinator.Limits{}, ReasonNoService
+		return coordinator.Limits{}, ReasonUnknownService
 	}
-	d.open++
+	d.openCount++
 	return limits, ""
 }
 
-func (d *Dispatcher) leave() {
+// release ends the count of a query that admit accepted.
+func (d *Dispatcher) release() {
 	d.mu.Lock()
-	d.open--
+	d.openCount--
 	d.mu.Unlock()
 }
 
-// limits narrows the rows of the services by the request.
-func (d *Dispatcher) limits(request Request, begun time.Duration) (coordinator.Limits, bool) {
+// limitsFor returns the strictest limits of the request and of the rows of its services, or false if a service has no rows.
+func (d *Dispatcher) limitsFor(request Request, startedAt time.Duration) (coordinator.Limits, bool) {
 	limits := coordinator.Limits{Idempotent: request.Idempotent, HedgePercent: -1}
 	deadline := request.Deadline
 	for _, service := range request.Services {
-		rows := d.rows[service]
+		rows := d.rowsByService[service]
 		if len(rows) == 0 {
 			return limits, false
 		}
@@ -61,33 +62,34 @@
 	if request.MinCoverage != nil {
 		limits.MinCoverage = max(limits.MinCoverage, *request.MinCoverage)
 	}
-	limits.Deadline = begun + deadline
+	limits.Deadline = startedAt + deadline
 	return limits, true
 }
 
-// threshold returns the priority that a query needs so that each shard has a replica that takes it.
-func (d *Dispatcher) threshold(plan coordinator.Plan, now time.Duration) float64 {
-	needed := 0.0
+// admissionThreshold returns the lowest priority at which each shard of the plan has a replica that accepts the query.
+func (d *Dispatcher) admissionThreshold(plan coordinator.Plan, now time.Duration) float64 {
+	threshold := 0.0
 	for _, shard := range plan.Shards {
 		lowest := 1.0
 		for _, leaf := range shard.Candidates {
 			lowest = min(lowest, d.chooser.Threshold(leaf, now))
 		}
 		if len(shard.Candidates) > 0 {
-			needed = max(needed, lowest)
+			threshold = max(threshold, lowest)
 		}
 	}
-	return needed
+	return threshold
 }
 
-// priorityOf spreads queries evenly over 0 to 1, the same at every leaf.
+// priorityOf returns a priority from 0 to 1 that is derived from the query identifier. Priorities are evenly distributed, and
+// a query has the same priority at every leaf.
 func priorityOf(id string) float64 {
 	return float64(xxhash.Sum64String(id)>>(64-priorityBits)) / (1 << priorityBits)
 }
 
 func retryAfter(reason string) time.Duration {
 	if reason != ReasonOverloaded {
-		return retryAfterNotReady
+		return retryAfterUnavailable
 	}
 	return retryAfterOverload
 }
--- a/pkg/dispatcher/convert.go
+++ b/pkg/dispatcher/convert.go
@@ -8,9 +8,9 @@
 	"lovagedeck/pkg/leaf"
 )
 
-func toHoldings(wire []fellow.Holding) []coordinator.Holding {
-	holdings := make([]coordinator.Holding, 0, len(wire))
-	for _, h := range wire {
+func toHoldings(reported []fellow.Holding) []coordinator.Holding {
+	holdings := make([]coordinator.Holding, 0, len(reported))
+	for _, h := range reported {
 		holdings = append(holdings, coordinator.Holding{
 			Version: coordinator.Version{Index: h.Index, Number: h.Version}, Shard: h.Shard, Shards: h.Shards,
 		})
--- a/pkg/dispatcher/counters.go
+++ b/pkg/dispatcher/counters.go
@@ -10,12 +10,12 @@
 
 func newCounters(set *metrics.Set) counters {
 	c := counters{
-		queries:  map[coordinator.Outcome]*metrics.Counter{},
-		first:    set.GetOrCreateCounter(`lovagedeck_attempts_total{kind="first"}`),
-		retries:  set.GetOrCreateCounter(`lovagedeck_attempts_total{kind="retry"}`),
-		hedges:   set.GetOrCreateCounter(`lovagedeck_attempts_total{kind="hedge"}`),
-		strays:   set.GetOrCreateCounter("lovagedeck_stray_replies_total"),
-		duration: set.GetOrCreateHistogram("lovagedeck_query_seconds"),
+		queries:          map[coordinator.Outcome]*metrics.Counter{},
+		first:            set.GetOrCreateCounter(`lovagedeck_attempts_total{kind="first"}`),
+		retries:          set.GetOrCreateCounter(`lovagedeck_attempts_total{kind="retry"}`),
+		hedges:           set.GetOrCreateCounter(`lovagedeck_attempts_total{kind="hedge"}`),
+		unmatchedReplies: set.GetOrCreateCounter("lovagedeck_stray_replies_total"),
+		duration:         set.GetOrCreateHistogram("lovagedeck_query_seconds"),
 	}
 	for _, outcome := range []coordinator.Outcome{
 		coordinator.OutcomeComplete, coordinator.OutcomePartial, coordinator.OutcomeRefused, coordinator.OutcomeFailed,
@@ -25,7 +25,7 @@
 	return c
 }
 
-func (c counters) count(result Result) {
+func (c counters) record(result Result) {
 	c.queries[result.Answer.Outcome].Inc()
 	c.duration.Update(result.Took.Seconds())
 	for _, attempt := range result.Answer.Attempts {
--- a/pkg/dispatcher/course.go
+++ b/pkg/dispatcher/course.go
@@ -1,5 +1,5 @@
-// A course is one query under way: its asks go to the owners of the leafs,
-// and what comes back decides on the next ones.
+// An active query sends its attempts to the owners of the leafs, and the
+// coordinator decides on further attempts from the replies and the time.
 
 package dispatcher
 
@@ -13,39 +13,43 @@
 )
 
 type (
-	// course is one query under way.
-	course struct {
-		id       string
-		query    *coordinator.Query
-		request  Request
-		priority float64
-		begun    time.Duration
-		owners   map[uint64]tabulator.MemberID
-		timer    *time.Timer
-		done     chan coordinator.Answer
+	// activeQuery is a query that has started and not yet ended.
+	activeQuery struct {
+		id        string
+		query     *coordinator.Query
+		request   Request
+		priority  float64
+		startedAt time.Duration
+		// owners holds the owner to which each attempt was sent, by attempt identifier.
+		owners map[uint64]tabulator.MemberID
+		timer  *time.Timer
+		// finished receives the answer when the query ends; it is buffered, so that the sender never blocks.
+		finished chan coordinator.Answer
 	}
 )
 
-func (d *Dispatcher) onTime(c *course) {
+func (d *Dispatcher) onTimer(active *activeQuery) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(c, c.query.OnTimer(d.config.Now()))
+	d.execute(active, active.query.OnTimer(d.config.Now()))
 }
 
-func (d *Dispatcher) abandon(c *course) coordinator.Answer {
+// cancelQuery ends a query whose caller is gone, and returns its answer if the query has finished in the meantime.
+func (d *Dispatcher) cancelQuery(active *activeQuery) coordinator.Answer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(c, c.query.Abandon(d.config.Now()))
-	c.timer.Stop()
+	d.execute(active, active.query.Abandon(d.config.Now()))
+	active.timer.Stop()
 	select {
-	case answer := <-c.done:
+	case answer := <-active.finished:
 		return answer
 	default:
 		return coordinator.Answer{Outcome: coordinator.OutcomeFailed, Reason: ReasonCallerGone}
 	}
 }
 
-// onReply hands a reply to its query; a reply to nothing that is outstanding is counted and dropped.
+// onReply passes a reply to its query. It counts and discards a reply that matches no outstanding attempt, but uses the leaf
+// state in the reply in either case. d.mu must be held.
 func (d *Dispatcher) onReply(reply fellow.Reply) {
 	now := d.config.Now()
 	leaf := assigner.LeafID(reply.Leaf)
@@ -53,92 +57,96 @@
 	if reply.Condition.Known {
 		d.chooser.OnReport(leaf, toReport(reply.Condition), now)
 	}
-	c := d.running[reply.ID]
-	if c == nil {
-		d.counters.strays.Inc()
+	active := d.queriesByAttempt[reply.ID]
+	if active == nil {
+		d.counters.unmatchedReplies.Inc()
 		return
 	}
-	delete(d.running, reply.ID)
+	delete(d.queriesByAttempt, reply.ID)
 	if isUnavailable(reply) {
 		d.chooser.OnUnavailable(leaf, now)
 	}
-	d.carryOut(c, c.query.OnReply(toReply(reply), now))
+	d.execute(active, active.query.OnReply(toReply(reply), now))
 }
 
-func (d *Dispatcher) carryOut(c *course, actions []coordinator.Action) {
+// execute carries out the actions of a query and resets its timer unless the query has ended; d.mu must be held.
+func (d *Dispatcher) execute(active *activeQuery, actions []coordinator.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case coordinator.Send:
-			d.ask(c, a)
+			d.sendRequest(active, a)
 		case coordinator.Cancel:
-			delete(d.running, a.Attempt)
-			if owner, ok := c.owners[a.Attempt]; ok {
+			delete(d.queriesByAttempt, a.Attempt)
+			if owner, ok := active.owners[a.Attempt]; ok {
 				d.config.Transport.Cancel(owner, a.Attempt)
 			}
 		case coordinator.Replan:
-			d.startOver(c)
+			d.restart(active)
 			return
 		case coordinator.Finish:
-			c.timer.Stop()
-			c.done <- a.Answer
+			active.timer.Stop()
+			active.finished <- a.Answer
 			return
 		}
 	}
-	if !c.query.Done() {
-		c.timer.Reset(max(0, c.query.WakeAt()-d.config.Now()))
+	if !active.query.Done() {
+		active.timer.Reset(max(0, active.query.WakeAt()-d.config.Now()))
 	}
 }
 
-func (d *Dispatcher) startOver(c *course) {
+// restart continues a query with a plan for a newer index version, or lets it end if there is none.
+func (d *Dispatcher) restart(active *activeQuery) {
 	now := d.config.Now()
-	plan, ok := d.catalogue.PlanQuery(c.request.Services, d.view)
-	if !ok || !c.query.IsNewer(plan) {
-		d.carryOut(c, c.query.KeepPlan(now))
+	plan, ok := d.catalogue.PlanQuery(active.request.Services, d.view)
+	if !ok || !active.query.IsNewer(plan) {
+		d.execute(active, active.query.KeepPlan(now))
 		return
 	}
-	d.carryOut(c, c.query.Restart(plan, now))
+	d.execute(active, active.query.Restart(plan, now))
 }
 
-func (d *Dispatcher) ask(c *course, a coordinator.Send) {
+func (d *Dispatcher) sendRequest(active *activeQuery, attempt coordinator.Send) {
 	now := d.config.Now()
-	d.running[a.Attempt] = c
-	record, listed := d.catalogue.Leaf(a.Leaf)
-	owner, ok := d.owner(record)
-	if !listed || !ok {
-		d.refuseLater(a, fellow.ReasonNoOwner)
+	d.queriesByAttempt[attempt.Attempt] = active
+	record, isListed := d.catalogue.Leaf(attempt.Leaf)
+	owner, ok := d.ownerOf(record)
+	if !isListed || !ok {
+		d.refuseAsync(attempt, fellow.ReasonNoOwner)
 		return
 	}
-	c.owners[a.Attempt] = owner.ID()
+	active.owners[attempt.Attempt] = owner.ID()
 	d.config.Transport.Ask(owner, fellow.Ask{
-		ID: a.Attempt, Query: c.id, Leaf: string(a.Leaf), Service: a.Shard.Service, Shard: a.Shard.Number,
-		Index: a.Version.Index, Version: a.Version.Number, RemainingUs: (a.Deadline - now).Microseconds(),
-		Effect: !c.request.Idempotent, Hedge: a.IsHedge, Caller: c.request.Caller, Weight: c.request.Weight,
-		Priority: c.priority, Text: c.request.Text,
+		ID: attempt.Attempt, Query: active.id, Leaf: string(attempt.Leaf), Service: attempt.Shard.Service, Shard: attempt.Shard.Number,
+		Index: attempt.Version.Index, Version: attempt.Version.Number, RemainingUs: (attempt.Deadline - now).Microseconds(),
+		Effect: !active.request.Idempotent, Hedge: attempt.IsHedge, Caller: active.request.Caller, Weight: active.request.Weight,
+		Priority: active.priority, Text: active.request.Text,
 	})
 }
 
-// refuseLater answers an ask that has no owner after the present step has ended.
-func (d *Dispatcher) refuseLater(a coordinator.Send, reason string) {
-	go d.OnReplies(d.config.Self, []fellow.Reply{{ID: a.Attempt, Leaf: string(a.Leaf), Kind: fellow.KindNotRun, Reason: reason}})
+// refuseAsync refuses an attempt whose leaf has no owner. It replies from another goroutine, because d.mu is held
+// here and the current actions of the query must be completed first.
+func (d *Dispatcher) refuseAsync(attempt coordinator.Send, reason string) {
+	go d.OnReplies(d.config.Self, []fellow.Reply{{ID: attempt.Attempt, Leaf: string(attempt.Leaf), Kind: fellow.KindNotRun, Reason: reason}})
 }
 
-func (d *Dispatcher) owner(record coordinator.LeafRecord) (tabulator.Member, bool) {
-	if d.config.LocalOnly {
+func (d *Dispatcher) ownerOf(record coordinator.LeafRecord) (tabulator.Member, bool) {
+	if d.config.UsesLocalOwner {
 		return d.view.Member(d.config.Self.Instance)
 	}
 	return d.assignment.Owner(assigner.NewLeaf(record.ID, record.DataCentre))
 }
 
-func (d *Dispatcher) ownerIsSilent(leaf assigner.LeafID) bool {
+func (d *Dispatcher) isOwnerUnresponsive(leaf assigner.LeafID) bool {
 	record, ok := d.catalogue.Leaf(leaf)
 	if !ok {
 		return true
 	}
-	owner, ok := d.owner(record)
-	return !ok || d.config.Transport.Silent(owner.ID())
+	owner, ok := d.ownerOf(record)
+	return !ok || d.config.Transport.IsUnresponsive(owner.ID())
 }
 
-// isUnavailable tells whether a reply says that nothing can be sent to the leaf for a while.
+// isUnavailable reports whether a reply shows that the leaf accepts no requests at present: it refused the request, and it is
+// in backoff or no state of it was reported.
 func isUnavailable(reply fellow.Reply) bool {
 	if reply.Kind != fellow.KindNotRun {
 		return false
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -21,74 +21,88 @@
 )
 
 const (
-	hedgeQuantile  = 0.97
-	maxToolSets    = 1024
-	priorityBits   = 32
-	holdingsRounds = 40
-	holdingsPause  = 25 * time.Millisecond
-	askPause       = 100 * time.Millisecond
+	// hedgeQuantile is the quantile of the latencies of a service set after which an attempt is hedged.
+	hedgeQuantile           = 0.97
+	maxHedgeStates          = 1024
+	priorityBits            = 32
+	maxHoldingsRounds       = 40
+	holdingsRetryInterval   = 25 * time.Millisecond
+	missingHoldingsInterval = 100 * time.Millisecond
 )
 
 type (
-	// Transport carries asks and cancellations to owners.
+	// Transport sends requests and cancellations to the owners of leafs.
 	Transport interface {
+		// Ask sends a request to an owner, whose reply arrives through OnReplies.
 		Ask(owner tabulator.Member, ask fellow.Ask)
+		// Cancel cancels the request with the given identifier.
 		Cancel(owner tabulator.MemberID, id uint64)
-		Silent(owner tabulator.MemberID) bool
-		CutOff() bool
+		// IsUnresponsive reports whether an owner did not acknowledge what was last sent to it.
+		IsUnresponsive(owner tabulator.MemberID) bool
+		// IsCutOff reports whether most of the other instances do not acknowledge what this one sends.
+		IsCutOff() bool
+		// FetchHoldings returns the holdings that an owner knows of the given leafs, by leaf identifier.
 		FetchHoldings(owner tabulator.Member, leafs []string) (map[string][]fellow.Holding, error)
 	}
 
-	// Config is what a Dispatcher needs of its instance.
+	// Config holds the settings of a Dispatcher and the functions of the instance that it uses.
 	Config struct {
-		Self      tabulator.MemberID
-		Now       func() time.Duration
-		Wall      func() time.Time
+		Self tabulator.MemberID
+		// Now returns the time since a fixed start on a monotonic clock.
+		Now func() time.Duration
+		// WallClock returns the time of day, which is used in traces.
+		WallClock func() time.Time
+		// LeaseHeld reports whether this instance holds a valid lease at the given time.
 		LeaseHeld func(now time.Duration) bool
 		Transport Transport
 		Random    *rand.Rand
-		Policy    chooser.Policy
-		NoHedges  bool
-		NoGate    bool
-		LocalOnly bool
+		// Policy selects the replica for an attempt; nil means chooser.Scored.
+		Policy   chooser.Policy
+		NoHedges bool
+		// IgnoresOverload admits queries regardless of the overload thresholds of the leafs.
+		IgnoresOverload bool
+		// UsesLocalOwner sends all attempts to the owner in this instance, whatever the assignment of the leafs.
+		UsesLocalOwner bool
 	}
 
-	// Dispatcher runs queries; its state is guarded by one lock, and waiting happens outside it.
+	// Dispatcher runs queries. One mutex guards its state and is not held while a query waits.
 	Dispatcher struct {
-		config     Config
-		traces     *tracer.Store
-		mu         sync.Mutex
-		view       *tabulator.View
-		rows       map[string][]tabulator.Row
-		assignment *assigner.Map
-		catalogue  *coordinator.Catalogue
-		chooser    *chooser.Chooser
-		tools      map[string]*toolSet
-		running    map[uint64]*course
-		sequence   uint64
-		queries    uint64
-		askedAt    time.Duration
-		open       int
-		draining   bool
-		counters   counters
-	}
-
-	toolSet struct {
+		config        Config
+		traces        *tracer.Store
+		mu            sync.Mutex
+		view          *tabulator.View
+		rowsByService map[string][]tabulator.Row
+		assignment    *assigner.Map
+		catalogue     *coordinator.Catalogue
+		chooser       *chooser.Chooser
+		hedgeStates   map[string]*hedgeState
+		// queriesByAttempt holds the query of each outstanding attempt.
+		queriesByAttempt    map[uint64]*activeQuery
+		lastAttemptID       uint64
+		lastQueryNumber     uint64
+		holdingsRequestedAt time.Duration
+		openCount           int
+		isDraining          bool
+		counters            counters
+	}
+
+	// hedgeState is the state for hedging that all queries of one service set share.
+	hedgeState struct {
 		budget   *hedger.Budget
 		quantile *hedger.Quantile
 	}
 
 	counters struct {
-		queries  map[coordinator.Outcome]*metrics.Counter
-		first    *metrics.Counter
-		retries  *metrics.Counter
-		hedges   *metrics.Counter
-		strays   *metrics.Counter
-		duration *metrics.Histogram
+		queries          map[coordinator.Outcome]*metrics.Counter
+		first            *metrics.Counter
+		retries          *metrics.Counter
+		hedges           *metrics.Counter
+		unmatchedReplies *metrics.Counter
+		duration         *metrics.Histogram
 	}
 )
 
-// New returns a dispatcher that knows no leaf yet.
+// New returns a dispatcher without a table or leafs, whose counters are in set.
 func New(config Config, traces *tracer.Store, set *metrics.Set) *Dispatcher {
 	if config.Policy == nil {
 		config.Policy = chooser.PowerOfTwoChoices{}
@@ -96,59 +110,59 @@
 	return &Dispatcher{
 		config: config, traces: traces, view: tabulator.NewView(), assignment: assigner.NewMap(tabulator.NewView()),
 		catalogue: coordinator.NewCatalogue(), chooser: chooser.New(config.Random, chooser.WithPolicy(config.Policy)),
-		tools: map[string]*toolSet{}, running: map[uint64]*course{}, counters: newCounters(set),
+		hedgeStates: map[string]*hedgeState{}, queriesByAttempt: map[uint64]*activeQuery{}, counters: newCounters(set),
 	}
 }
 
-// OnView takes a new table and membership.
+// OnView applies a new table and membership.
 func (d *Dispatcher) OnView(view *tabulator.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.view = view
 	d.assignment = d.assignment.Next(view)
-	d.rows = map[string][]tabulator.Row{}
+	d.rowsByService = map[string][]tabulator.Row{}
 	for _, row := range view.Rows() {
 		service := row.Key().Service
-		d.rows[service] = append(d.rows[service], row)
+		d.rowsByService[service] = append(d.rowsByService[service], row)
 	}
 }
 
-// OnRoster takes a new roster of leafs.
-func (d *Dispatcher) OnRoster(records []coordinator.LeafRecord) {
+// OnLeafList replaces the list of known leafs.
+func (d *Dispatcher) OnLeafList(records []coordinator.LeafRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.catalogue.SetLeafs(records)
 }
 
-// Drain refuses new queries; those under way go on.
+// Drain refuses new queries from now on and lets the open ones continue.
 func (d *Dispatcher) Drain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.draining = true
+	d.isDraining = true
 }
 
-// Open returns how many queries are under way.
-func (d *Dispatcher) Open() int {
+// OpenQueries returns the number of queries that are running.
+func (d *Dispatcher) OpenQueries() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.open
+	return d.openCount
 }
 
-// Run runs a query and returns its result.
+// Run runs a query and returns its result. It cancels the query if ctx ends first.
 func (d *Dispatcher) Run(ctx context.Context, request Request) Result {
-	begun := d.config.Now()
+	startedAt := d.config.Now()
 	id := d.nextQueryID()
-	started := d.config.Wall()
-	answer := d.run(ctx, id, request, begun)
-	result := Result{ID: id, Took: d.config.Now() - begun, Answer: answer}
+	startTime := d.config.WallClock()
+	answer := d.run(ctx, id, request, startedAt)
+	result := Result{ID: id, Took: d.config.Now() - startedAt, Answer: answer}
 	if answer.Outcome == coordinator.OutcomeRefused {
 		result.RetryAfter = retryAfter(answer.Reason)
 	}
-	d.finish(result, request, started, begun)
+	d.recordResult(result, request, startTime, startedAt)
 	return result
 }
 
-// OnReplies takes replies of owners.
+// OnReplies processes replies of owners.
 func (d *Dispatcher) OnReplies(_ tabulator.MemberID, replies []fellow.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,41 +171,42 @@
 	}
 }
 
-// OnLost takes asks that did not get through to their owner.
-func (d *Dispatcher) OnLost(asks []fellow.Ask, maybeReceived bool, reason string) {
+// OnUndelivered ends attempts that were not delivered to their owner. If maybeReceived is set, the owner may have received
+// them, so their outcome is unknown.
+func (d *Dispatcher) OnUndelivered(requests []fellow.Ask, maybeReceived bool, reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, ask := range asks {
+	for _, request := range requests {
 		kind := fellow.KindNotRun
 		if maybeReceived {
 			kind = fellow.KindUnknown
 		}
-		d.onReply(fellow.Reply{ID: ask.ID, Leaf: ask.Leaf, Kind: kind, Reason: reason})
+		d.onReply(fellow.Reply{ID: request.ID, Leaf: request.Leaf, Kind: kind, Reason: reason})
 	}
 }
 
-func (d *Dispatcher) run(ctx context.Context, id string, request Request, begun time.Duration) coordinator.Answer {
-	limits, refusal := d.admit(request, begun)
+func (d *Dispatcher) run(ctx context.Context, id string, request Request, startedAt time.Duration) coordinator.Answer {
+	limits, refusal := d.admit(request, startedAt)
 	if refusal != "" {
 		return coordinator.RefusedAnswer(refusal)
 	}
-	defer d.leave()
-	if !d.knowHoldings(ctx, request.Services, limits.Deadline) {
+	defer d.release()
+	if !d.ensureHoldings(ctx, request.Services, limits.Deadline) {
 		return coordinator.RefusedAnswer(ReasonNoHoldings)
 	}
-	c, refusal := d.begin(id, request, limits, begun)
+	active, refusal := d.startQuery(id, request, limits, startedAt)
 	if refusal != "" {
 		return coordinator.RefusedAnswer(refusal)
 	}
 	select {
-	case answer := <-c.done:
+	case answer := <-active.finished:
 		return answer
 	case <-ctx.Done():
-		return d.abandon(c)
+		return d.cancelQuery(active)
 	}
 }
 
-func (d *Dispatcher) begin(id string, request Request, limits coordinator.Limits, begun time.Duration) (*course, string) {
+func (d *Dispatcher) startQuery(id string, request Request, limits coordinator.Limits, startedAt time.Duration) (*activeQuery, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.config.Now()
@@ -200,55 +215,56 @@
 		return nil, ReasonNoHoldings
 	}
 	priority := priorityOf(id)
-	if !d.config.NoGate && priority < d.threshold(plan, now) {
+	if !d.config.IgnoresOverload && priority < d.admissionThreshold(plan, now) {
 		return nil, ReasonOverloaded
 	}
-	tools := d.toolsFor(request.Services)
-	c := &course{
-		id: id, request: request, priority: priority, begun: begun, owners: map[uint64]tabulator.MemberID{},
-		done: make(chan coordinator.Answer, 1),
+	hedging := d.hedgeStateFor(request.Services)
+	active := &activeQuery{
+		id: id, request: request, priority: priority, startedAt: startedAt, owners: map[uint64]tabulator.MemberID{},
+		finished: make(chan coordinator.Answer, 1),
 	}
-	c.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
-		Chooser: d.chooser, Budget: tools.budget, Quantile: tools.quantile, DisablesHedges: d.config.NoHedges,
-		NextAttemptID: d.nextID, AttemptTimeout: assigner.MaxSubDeadline, ShouldAvoid: d.ownerIsSilent,
+	active.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
+		Chooser: d.chooser, Budget: hedging.budget, Quantile: hedging.quantile, DisablesHedges: d.config.NoHedges,
+		NextAttemptID: d.nextAttemptID, AttemptTimeout: assigner.MaxLeafRequestTime, ShouldAvoid: d.isOwnerUnresponsive,
 	})
-	c.timer = time.AfterFunc(time.Hour, func() { d.onTime(c) })
-	d.carryOut(c, c.query.Start(now))
-	return c, ""
+	active.timer = time.AfterFunc(time.Hour, func() { d.onTimer(active) })
+	d.execute(active, active.query.Start(now))
+	return active, ""
 }
 
-func (d *Dispatcher) toolsFor(services []string) *toolSet {
+// hedgeStateFor returns the hedging state of a service set. Service sets beyond maxHedgeStates share one state.
+func (d *Dispatcher) hedgeStateFor(services []string) *hedgeState {
 	key := strings.Join(services, ",")
-	if d.tools[key] == nil && len(d.tools) >= maxToolSets {
+	if d.hedgeStates[key] == nil && len(d.hedgeStates) >= maxHedgeStates {
 		key = ""
 	}
-	if d.tools[key] == nil {
-		d.tools[key] = &toolSet{budget: hedger.NewBudget(), quantile: hedger.NewQuantile(hedgeQuantile)}
+	if d.hedgeStates[key] == nil {
+		d.hedgeStates[key] = &hedgeState{budget: hedger.NewBudget(), quantile: hedger.NewQuantile(hedgeQuantile)}
 	}
-	return d.tools[key]
+	return d.hedgeStates[key]
 }
 
-func (d *Dispatcher) nextID() uint64 {
-	d.sequence++
-	return d.sequence
+func (d *Dispatcher) nextAttemptID() uint64 {
+	d.lastAttemptID++
+	return d.lastAttemptID
 }
 
 func (d *Dispatcher) nextQueryID() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queries++
-	return fmt.Sprintf("%s.%x.%d", d.config.Self.Instance, d.config.Self.Incarnation, d.queries)
+	d.lastQueryNumber++
+	return fmt.Sprintf("%s.%x.%d", d.config.Self.Instance, d.config.Self.Incarnation, d.lastQueryNumber)
 }
 
-// SortServices returns the services in order without repetition.
+// SortServices returns the services sorted and without duplicates.
 func SortServices(services []string) []string {
 	sorted := append([]string(nil), services...)
 	sort.Strings(sorted)
-	kept := sorted[:0]
+	unique := sorted[:0]
 	for i, service := range sorted {
 		if i == 0 || service != sorted[i-1] {
-			kept = append(kept, service)
+			unique = append(unique, service)
 		}
 	}
-	return kept
+	return unique
 }
--- a/pkg/dispatcher/dispatcher_test.go
+++ b/pkg/dispatcher/dispatcher_test.go
@@ -16,21 +16,21 @@
 	"lovagedeck/pkg/tracer"
 )
 
-// fakeOwners answers every ask after a delay, or never.
+// fakeOwners replies to every request with a hit after a delay, or never.
 type fakeOwners struct {
-	mu         sync.Mutex
-	dispatcher *Dispatcher
-	delay      time.Duration
-	never      bool
-	asked      int
-	cancelled  int
+	mu             sync.Mutex
+	dispatcher     *Dispatcher
+	delay          time.Duration
+	isUnresponsive bool
+	requestCount   int
+	cancelCount    int
 }
 
 func (f *fakeOwners) Ask(_ tabulator.Member, ask fellow.Ask) {
 	f.mu.Lock()
-	f.asked++
+	f.requestCount++
 	f.mu.Unlock()
-	if f.never {
+	if f.isUnresponsive {
 		return
 	}
 	time.AfterFunc(f.delay, func() {
@@ -42,13 +42,13 @@
 
 func (f *fakeOwners) Cancel(tabulator.MemberID, uint64) {
 	f.mu.Lock()
-	f.cancelled++
+	f.cancelCount++
 	f.mu.Unlock()
 }
 
-func (f *fakeOwners) Silent(tabulator.MemberID) bool { return false }
+func (f *fakeOwners) IsUnresponsive(tabulator.MemberID) bool { return false }
 
-func (f *fakeOwners) CutOff() bool { return false }
+func (f *fakeOwners) IsCutOff() bool { return false }
 
 func (f *fakeOwners) FetchHoldings(_ tabulator.Member, leafs []string) (map[string][]fellow.Holding, error) {
 	holdings := map[string][]fellow.Holding{}
@@ -58,12 +58,12 @@
 	return holdings, nil
 }
 
-func newDispatcher(t *testing.T, owners *fakeOwners, lease func() bool) *Dispatcher {
+func newDispatcher(t *testing.T, owners *fakeOwners, holdsLease func() bool) *Dispatcher {
 	t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	d := New(Config{
-		Self: tabulator.MemberID{Instance: "e", Incarnation: 1}, Now: func() time.Duration { return time.Since(begun) }, Wall: time.Now,
-		LeaseHeld: func(time.Duration) bool { return lease() }, Transport: owners, Random: rand.New(rand.NewPCG(1, 1)),
+		Self: tabulator.MemberID{Instance: "e", Incarnation: 1}, Now: func() time.Duration { return time.Since(startedAt) }, WallClock: time.Now,
+		LeaseHeld: func(time.Duration) bool { return holdsLease() }, Transport: owners, Random: rand.New(rand.NewPCG(1, 1)),
 	}, tracer.NewStore(), metrics.NewSet())
 	owners.dispatcher = d
 	machine := tabulator.NewMachine()
@@ -76,90 +76,91 @@
 		t.Fatal(err)
 	}
 	d.OnView(view)
-	d.OnRoster([]coordinator.LeafRecord{
+	d.OnLeafList([]coordinator.LeafRecord{
 		{ID: "s-d-0", Service: "s", DataCentre: "d", Address: "x"}, {ID: "s-d-1", Service: "s", DataCentre: "d", Address: "y"},
 	})
 	return d
 }
 
-func TestRun(t *testing.T) {
-	held := func() bool { return true }
+func TestRunOutcomes(t *testing.T) {
+	leaseHeld := func() bool { return true }
 	tests := []struct {
-		name    string
-		owners  fakeOwners
-		lease   func() bool
-		request Request
-		drain   bool
-		gone    bool
-		outcome coordinator.Outcome
-		reason  string
+		name         string
+		owners       fakeOwners
+		holdsLease   func() bool
+		request      Request
+		isDraining   bool
+		isCallerGone bool
+		outcome      coordinator.Outcome
+		reason       string
 	}{
-		{"complete", fakeOwners{delay: time.Millisecond}, held, Request{Services: []string{"s"}, Idempotent: true}, false, false, coordinator.OutcomeComplete, ""},
-		{"never answered", fakeOwners{never: true}, held, Request{Services: []string{"s"}, Idempotent: true}, false, false, coordinator.OutcomeFailed, coordinator.ReasonDeadline},
-		{"unknown service", fakeOwners{}, held, Request{Services: []string{"x"}}, false, false, coordinator.OutcomeRefused, ReasonNoService},
-		{"no lease", fakeOwners{}, func() bool { return false }, Request{Services: []string{"s"}}, false, false, coordinator.OutcomeRefused, ReasonNotReady},
-		{"shutting down", fakeOwners{}, held, Request{Services: []string{"s"}}, true, false, coordinator.OutcomeRefused, ReasonShuttingDown},
-		{"caller gone", fakeOwners{never: true}, held, Request{Services: []string{"s"}, Idempotent: true}, false, true, coordinator.OutcomeFailed, ReasonCallerGone},
+		{"complete", fakeOwners{delay: time.Millisecond}, leaseHeld, Request{Services: []string{"s"}, Idempotent: true}, false, false, coordinator.OutcomeComplete, ""},
+		{"owner never replies", fakeOwners{isUnresponsive: true}, leaseHeld, Request{Services: []string{"s"}, Idempotent: true}, false, false, coordinator.OutcomeFailed, coordinator.ReasonDeadline},
+		{"unknown service", fakeOwners{}, leaseHeld, Request{Services: []string{"x"}}, false, false, coordinator.OutcomeRefused, ReasonUnknownService},
+		{"no lease", fakeOwners{}, func() bool { return false }, Request{Services: []string{"s"}}, false, false, coordinator.OutcomeRefused, ReasonNoLease},
+		{"shutting down", fakeOwners{}, leaseHeld, Request{Services: []string{"s"}}, true, false, coordinator.OutcomeRefused, ReasonShuttingDown},
+		{"caller gone", fakeOwners{isUnresponsive: true}, leaseHeld, Request{Services: []string{"s"}, Idempotent: true}, false, true, coordinator.OutcomeFailed, ReasonCallerGone},
 	}
 	for i := range tests {
 		test := &tests[i]
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDispatcher(t, &test.owners, test.lease)
-				if test.drain {
+				d := newDispatcher(t, &test.owners, test.holdsLease)
+				if test.isDraining {
 					d.Drain()
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if test.gone {
+				if test.isCallerGone {
 					time.AfterFunc(time.Millisecond, cancel)
 				}
 				result := d.Run(ctx, test.request)
 				if result.Answer.Outcome != test.outcome || result.Answer.Reason != test.reason {
-					t.Errorf("%s %q, want %s %q", result.Answer.Outcome, result.Answer.Reason, test.outcome, test.reason)
+					t.Errorf("got outcome %s with reason %q, want %s with reason %q", result.Answer.Outcome, result.Answer.Reason, test.outcome, test.reason)
 				}
 				if result.Took > 50*time.Millisecond {
-					t.Errorf("took %s, the row allows 50ms", result.Took)
+					t.Errorf("duration: got %s, want at most the deadline of the row, 50ms", result.Took)
 				}
 				time.Sleep(time.Second)
-				d.leavesNothing(t)
+				d.checkNothingOutstanding(t)
 			})
 		})
 	}
 }
 
-func (d *Dispatcher) leavesNothing(t *testing.T) {
+func (d *Dispatcher) checkNothingOutstanding(t *testing.T) {
 	t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.running) != 0 || d.open != 0 {
-		t.Errorf("%d requests and %d queries are left", len(d.running), d.open)
+	if len(d.queriesByAttempt) != 0 || d.openCount != 0 {
+		t.Errorf("after the query: got %d outstanding attempts and %d open queries, want none", len(d.queriesByAttempt), d.openCount)
 	}
 }
 
-// TestEndedQuerySetsNoTimer lets the timer fire while the query ends; a query that sets it again would spin for ever.
-func TestEndedQuerySetsNoTimer(t *testing.T) {
+// TestTimerOfFinishedQueryIsNotReset lets the timer fire while the query ends. If the query reset its timer then, the timer
+// would fire again and again without end.
+func TestTimerOfFinishedQueryIsNotReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owners := &fakeOwners{delay: time.Millisecond}
 		d := newDispatcher(t, owners, func() bool { return true })
-		c := &course{id: "q", owners: map[uint64]tabulator.MemberID{}, done: make(chan coordinator.Answer, 1)}
-		limits, _ := d.limits(Request{Services: []string{"s"}, Idempotent: true}, 0)
-		d.learn(map[string][]fellow.Holding{"s-d-0": {{Index: "i", Version: 1, Shards: 1}}})
+		active := &activeQuery{id: "q", owners: map[uint64]tabulator.MemberID{}, finished: make(chan coordinator.Answer, 1)}
+		limits, _ := d.limitsFor(Request{Services: []string{"s"}, Idempotent: true}, 0)
+		d.setHoldings(map[string][]fellow.Holding{"s-d-0": {{Index: "i", Version: 1, Shards: 1}}})
 		plan, _ := d.catalogue.PlanQuery([]string{"s"}, d.view)
-		tools := d.toolsFor([]string{"s"})
-		c.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
-			Chooser: d.chooser, Budget: tools.budget, Quantile: tools.quantile, NextAttemptID: d.nextID, AttemptTimeout: time.Second,
+		hedging := d.hedgeStateFor([]string{"s"})
+		active.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
+			Chooser: d.chooser, Budget: hedging.budget, Quantile: hedging.quantile, NextAttemptID: d.nextAttemptID, AttemptTimeout: time.Second,
 		})
-		fired := 0
-		c.timer = time.AfterFunc(time.Hour, func() { fired++ })
+		fireCount := 0
+		active.timer = time.AfterFunc(time.Hour, func() { fireCount++ })
 		d.mu.Lock()
-		d.carryOut(c, c.query.Start(0))
+		d.execute(active, active.query.Start(0))
 		d.mu.Unlock()
-		<-c.done
-		d.onTime(c)
+		<-active.finished
+		d.onTimer(active)
 		time.Sleep(2 * time.Hour)
-		if fired != 0 {
-			t.Errorf("the timer of an ended query fired %d times", fired)
+		if fireCount != 0 {
+			t.Errorf("timer of a finished query: got %d firings, want 0", fireCount)
 		}
 	})
 }
--- a/pkg/dispatcher/holdings.go
+++ b/pkg/dispatcher/holdings.go
@@ -9,62 +9,65 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-// knowHoldings asks owners for holdings until each service has some or the deadline is near. Where some are known but a
-// shard has no known replica, it asks once and goes on with what is known.
-func (d *Dispatcher) knowHoldings(ctx context.Context, services []string, deadline time.Duration) bool {
-	for range holdingsRounds {
-		known := d.anyHoldings(services)
-		groups := d.missingHoldings(services, known)
-		for owner, leafs := range groups {
+// ensureHoldings requests holdings from the owners until at least one leaf of each service has known holdings, and returns
+// false if the deadline is near or ctx ends before that. If each service has known holdings but a shard has no known replica,
+// it requests the missing holdings once and continues without them.
+func (d *Dispatcher) ensureHoldings(ctx context.Context, services []string, deadline time.Duration) bool {
+	for range maxHoldingsRounds {
+		isKnown := d.hasHoldings(services)
+		leafsByOwner := d.leafsToQuery(services, isKnown)
+		for owner, leafs := range leafsByOwner {
 			if holdings, err := d.config.Transport.FetchHoldings(owner, leafs); err == nil {
-				d.learn(holdings)
+				d.setHoldings(holdings)
 			}
 		}
-		if known || d.anyHoldings(services) {
+		if isKnown || d.hasHoldings(services) {
 			return true
 		}
-		if ctx.Err() != nil || d.config.Now()+holdingsPause >= deadline {
+		if ctx.Err() != nil || d.config.Now()+holdingsRetryInterval >= deadline {
 			return false
 		}
-		time.Sleep(holdingsPause)
+		time.Sleep(holdingsRetryInterval)
 	}
 	return false
 }
 
-// missingHoldings groups the leafs with unknown holdings by owner. Where the services are known in part, it names some
-// only when a shard lacks a known replica, and not more often than the pause allows.
-func (d *Dispatcher) missingHoldings(services []string, known bool) map[tabulator.Member][]string {
+// leafsToQuery returns the leafs whose holdings must be requested, grouped by owner. If each service already has known
+// holdings, it returns leafs only if a shard has no known replica, and at most once per missingHoldingsInterval.
+func (d *Dispatcher) leafsToQuery(services []string, isKnown bool) map[tabulator.Member][]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	unknown := d.catalogue.LeafsWithoutHoldings(services)
-	if len(unknown) == 0 || (known && !d.askForMore(services)) {
+	if len(unknown) == 0 || (isKnown && !d.shouldRequestMissing(services)) {
 		return nil
 	}
-	groups := map[tabulator.Member][]string{}
+	leafsByOwner := map[tabulator.Member][]string{}
 	for _, id := range unknown {
 		record, _ := d.catalogue.Leaf(id)
-		if owner, ok := d.owner(record); ok {
-			groups[owner] = append(groups[owner], string(id))
+		if owner, ok := d.ownerOf(record); ok {
+			leafsByOwner[owner] = append(leafsByOwner[owner], string(id))
 		}
 	}
-	return groups
+	return leafsByOwner
 }
 
-// askForMore tells whether a shard of the services lacks a known replica and owners were not asked just now.
-func (d *Dispatcher) askForMore(services []string) bool {
+// shouldRequestMissing reports whether a shard of the services has no known replica and the last request for missing holdings
+// is at least missingHoldingsInterval ago. It records the time of the new request.
+func (d *Dispatcher) shouldRequestMissing(services []string) bool {
 	now := d.config.Now()
-	if now < d.askedAt+askPause {
+	if now < d.holdingsRequestedAt+missingHoldingsInterval {
 		return false
 	}
 	plan, ok := d.catalogue.PlanQuery(services, d.view)
 	if ok && plan.IsComplete() {
 		return false
 	}
-	d.askedAt = now
+	d.holdingsRequestedAt = now
 	return true
 }
 
-func (d *Dispatcher) anyHoldings(services []string) bool {
+// hasHoldings reports whether each service has at least one leaf with known holdings.
+func (d *Dispatcher) hasHoldings(services []string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, service := range services {
@@ -75,10 +78,10 @@
 	return true
 }
 
-func (d *Dispatcher) learn(holdings map[string][]fellow.Holding) {
+func (d *Dispatcher) setHoldings(holdings map[string][]fellow.Holding) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, held := range holdings {
-		d.catalogue.SetHoldings(assigner.LeafID(id), toHoldings(held))
+	for id, reported := range holdings {
+		d.catalogue.SetHoldings(assigner.LeafID(id), toHoldings(reported))
 	}
 }
--- a/pkg/dispatcher/request.go
+++ b/pkg/dispatcher/request.go
@@ -7,42 +7,46 @@
 )
 
 type (
-	// Request is a checked query of a caller.
+	// Request is a validated query of a caller.
 	Request struct {
-		Caller      string
-		Weight      float64
-		Services    []string
-		Text        string
-		Deadline    time.Duration
+		Caller   string
+		Weight   float64
+		Services []string
+		Text     string
+		// Deadline is the time allowed for the query, which the table may shorten. Zero means the deadline in the table.
+		Deadline time.Duration
+		// MinCoverage is the share of the shards, from 0 to 1, that must answer. The table may require a larger share, and
+		// nil means the share in the table.
 		MinCoverage *float64
 		Idempotent  bool
 	}
 
-	// Result is an answer under the identifier of its query.
+	// Result is the answer to a query with the query identifier and the time taken.
 	Result struct {
-		ID         string
-		Took       time.Duration
+		ID   string
+		Took time.Duration
+		// RetryAfter is how long the caller of a refused query should wait before a retry.
 		RetryAfter time.Duration
 		Answer     coordinator.Answer
 	}
 )
 
 const (
-	// ReasonNoService says that no row of the table names the service.
-	ReasonNoService = "unknown-service"
-	// ReasonNoHoldings says that no leaf of the services has told what it holds.
+	// ReasonUnknownService means that the table has no row for a service of the query.
+	ReasonUnknownService = "unknown-service"
+	// ReasonNoHoldings means that no leaf of a service has reported its holdings.
 	ReasonNoHoldings = "no-known-holdings"
-	// ReasonNotReady says that the instance holds no lease on the table.
-	ReasonNotReady = "no-lease-on-the-table"
-	// ReasonCutOff says that most other instances do not take what this one sends.
+	// ReasonNoLease means that the instance has no valid lease on the table.
+	ReasonNoLease = "no-lease-on-the-table"
+	// ReasonCutOff means that most of the other instances do not acknowledge what this one sends.
 	ReasonCutOff = "cut-off-from-other-instances"
-	// ReasonOverloaded says that the leafs of the query refuse queries of its priority.
+	// ReasonOverloaded means that the leafs of the query currently refuse queries of its priority.
 	ReasonOverloaded = "overloaded"
-	// ReasonShuttingDown says that the instance is shutting down.
+	// ReasonShuttingDown means that the instance is shutting down.
 	ReasonShuttingDown = "shutting-down"
-	// ReasonCallerGone says that the caller left before the answer.
+	// ReasonCallerGone means that the caller disconnected before the answer was ready.
 	ReasonCallerGone = "caller-gone"
 
-	retryAfterOverload = 200 * time.Millisecond
-	retryAfterNotReady = time.Second
+	retryAfterOverload    = 200 * time.Millisecond
+	retryAfterUnavailable = time.Second
 )
--- a/pkg/owner/doc.go
+++ b/pkg/owner/doc.go
@@ -1,2 +1,2 @@
-// Package owner holds the leafs that this instance owns: it admits requests for them, sends them and replies.
+// Package owner admits, sends and answers the requests for the leafs that this instance owns.
 package owner
--- a/pkg/owner/owned_leaf.go
+++ b/pkg/owner/owned_leaf.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	releaseTries     = 3
-	releasePause     = 100 * time.Millisecond
-	leafSlack        = 10 * time.Millisecond
+	maxReleaseAttempts   = 3
+	releaseRetryInterval = 100 * time.Millisecond
+	// responseMargin is how long to wait for a response beyond the deadline of its request.
+	responseMargin = 10 * time.Millisecond
+	// spareConnections is the number of connections opened in advance beyond the slots of a leaf.
 	spareConnections = 2
 )
 
-// ownedLeaf is one ownership of one leaf.
+// ownedLeaf is the state of one leaf during one ownership by this instance.
 type ownedLeaf struct {
 	owner     *Owner
 	mu        sync.Mutex
@@ -29,18 +31,18 @@
 	admission *admitter.Admitter
 	fence     *assigner.Fence
 	client    *leaf.Client
-	items     map[uint64]*pendingAsk
+	queued    map[uint64]*pendingRequest
 	holdings  []fellow.Holding
-	start     string
-	opened    bool
-	retired   bool
+	startID   string
+	hasOpened bool
+	hasEnded  bool
 }
 
 func newOwnedLeaf(o *Owner, record coordinator.LeafRecord, row tabulator.Row) *ownedLeaf {
 	now := o.config.Now()
 	owned := &ownedLeaf{
-		owner: o, record: record, row: row, items: map[uint64]*pendingAsk{},
-		fence: assigner.NewFence(now, assigner.FenceWait()),
+		owner: o, record: record, row: row, queued: map[uint64]*pendingRequest{},
+		fence: assigner.NewFence(now, assigner.FenceTimeout()),
 	}
 	owned.admission = admitter.New(owned.slots(), now, admitter.WithGrowth(o.config.Growth))
 	owned.client = owned.newClient()
@@ -51,7 +53,7 @@
 	record := l.record
 	options := []leaf.Option{
 		leaf.WithDataCentre(l.owner.config.DataCentre),
-		leaf.WithGate(func() error { return l.owner.takesWork(record) }),
+		leaf.WithGate(func() error { return l.owner.checkSendAllowed(record) }),
 	}
 	if l.owner.config.Dial != nil {
 		options = append(options, leaf.WithDial(l.owner.config.Dial))
@@ -60,35 +62,36 @@
 }
 
 func (l *ownedLeaf) slots() int {
-	if split := l.owner.config.SplitOver; split > 0 {
+	if split := l.owner.config.SplitInstances; split > 0 {
 		return max(1, l.row.Slots()/split)
 	}
 	return max(1, l.row.Slots())
 }
 
 func (l *ownedLeaf) connections() int {
-	if split := l.owner.config.SplitOver; split > 0 {
+	if split := l.owner.config.SplitInstances; split > 0 {
 		return max(1, l.row.Connections()/split)
 	}
 	return max(1, l.row.Connections())
 }
 
-// seekRelease asks the former owner until it answers or the fence opens by itself.
-func (l *ownedLeaf) seekRelease(former tabulator.Member, known bool, epoch uint64) {
-	for try := 0; known && try < releaseTries; try++ {
-		released, reached := l.owner.config.AskRelease(former, epoch, l.record.ID)
-		if reached {
-			l.onReleased(released)
+// requestRelease asks the previous owner, if there is one, to release the leaf. After maxReleaseAttempts without a reply it
+// leaves the fence to open at its timeout.
+func (l *ownedLeaf) requestRelease(previousOwner tabulator.Member, hasPreviousOwner bool, epoch uint64) {
+	for attempt := 0; hasPreviousOwner && attempt < maxReleaseAttempts; attempt++ {
+		released, isReached := l.owner.config.RequestRelease(previousOwner, epoch, l.record.ID)
+		if isReached {
+			l.applyRelease(released)
 			return
 		}
-		time.Sleep(releasePause)
+		time.Sleep(releaseRetryInterval)
 	}
 }
 
-func (l *ownedLeaf) onReleased(released fellow.Released) {
+func (l *ownedLeaf) applyRelease(released fellow.Released) {
 	l.mu.Lock()
 	l.fence.OnRelease(assigner.Release{
-		Open: released.Open, Running: released.Running, RunningUntil: released.RunningUntil,
+		WasOpen: released.Open, RunningRequests: released.Running, RemainingRunTime: released.RunningUntil,
 		Limit: released.Limit, Latency: released.Latency,
 	})
 	l.mu.Unlock()
@@ -97,19 +100,19 @@
 	}
 }
 
-// open starts sending once the fence allows it.
+// open allows requests to be sent to the leaf, and applies the limit and latency handed over by the previous owner if any.
 func (l *ownedLeaf) open() {
 	now := l.owner.config.Now()
 	l.mu.Lock()
-	if l.opened || l.retired {
+	if l.hasOpened || l.hasEnded {
 		l.mu.Unlock()
 		return
 	}
-	l.opened = true
-	if release, ok := l.fence.Inherited(); ok {
+	l.hasOpened = true
+	if release, ok := l.fence.Handover(); ok {
 		l.admission = admitter.New(l.slots(), now, admitter.WithGrowth(l.owner.config.Growth),
-			admitter.WithHandover(release.Limit, release.Latency, release.Running, now+release.RunningUntil))
-		l.client.SetConnections(max(1, l.connections()-release.Running))
+			admitter.WithHandover(release.Limit, release.Latency, release.RunningRequests, now+release.RemainingRunTime))
+		l.client.SetConnections(max(1, l.connections()-release.RunningRequests))
 	}
 	l.mu.Unlock()
 	l.owner.group.Go(func() {
@@ -121,91 +124,91 @@
 func (l *ownedLeaf) update(record coordinator.LeafRecord, row tabulator.Row) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	moved := record.Address != l.record.Address
+	hasMoved := record.Address != l.record.Address
 	l.record = record
 	if row.Slots() > 0 {
 		l.row = row
 		l.admission.SetSlots(l.slots())
 		l.client.SetConnections(l.connections())
 	}
-	if moved {
+	if hasMoved {
 		l.client.Close()
 		l.client = l.newClient()
 		l.admission = admitter.New(l.slots(), l.owner.config.Now(), admitter.WithGrowth(l.owner.config.Growth))
 	}
 }
 
-func (l *ownedLeaf) offer(pending *pendingAsk, now time.Duration) {
-	if err := l.owner.takesWork(l.record); err != nil {
-		l.owner.settle(pending, l.notRun(err.Error()))
+func (l *ownedLeaf) submit(pending *pendingRequest, now time.Duration) {
+	if err := l.owner.checkSendAllowed(l.record); err != nil {
+		l.owner.complete(pending, l.notRunReply(err.Error()))
 		return
 	}
 	l.mu.Lock()
-	if l.retired || !l.opened {
+	if l.hasEnded || !l.hasOpened {
 		reason := fellow.ReasonFenced
-		if l.retired {
+		if l.hasEnded {
 			reason = fellow.ReasonNotOwner
 		}
 		l.mu.Unlock()
-		l.owner.settle(pending, fellow.Reply{Kind: fellow.KindNotRun, Reason: reason})
+		l.owner.complete(pending, fellow.Reply{Kind: fellow.KindNotRun, Reason: reason})
 		return
 	}
 	refusal := l.admission.Offer(admitter.Request{
-		ID: pending.itemID, Caller: pending.ask.Caller, Weight: pending.ask.Weight, Deadline: pending.deadline,
-		Priority: pending.ask.Priority, IsHedge: pending.ask.Hedge,
+		ID: pending.admissionID, Caller: pending.request.Caller, Weight: pending.request.Weight, Deadline: pending.deadline,
+		Priority: pending.request.Priority, IsHedge: pending.request.Hedge,
 	}, now)
 	if refusal == admitter.NotRefused {
-		l.items[pending.itemID] = pending
+		l.queued[pending.admissionID] = pending
 	}
 	l.mu.Unlock()
 	if refusal != admitter.NotRefused {
-		reply := l.notRun(string(refusal))
+		reply := l.notRunReply(string(refusal))
 		reply.Overload = isOverload(refusal)
-		l.owner.settle(pending, reply)
+		l.owner.complete(pending, reply)
 		return
 	}
-	l.pump()
+	l.sendAdmitted()
 }
 
-// pump sends what the admission allows now.
-func (l *ownedLeaf) pump() {
+// sendAdmitted sends queued requests until the admission allows no more.
+func (l *ownedLeaf) sendAdmitted() {
 	for {
 		now := l.owner.config.Now()
 		l.mu.Lock()
-		if l.retired {
+		if l.hasEnded {
 			l.mu.Unlock()
 			return
 		}
-		item, waited, ok := l.admission.Next(now)
+		item, queueTime, ok := l.admission.Next(now)
 		if !ok {
 			l.mu.Unlock()
 			return
 		}
-		pending := l.items[item.ID]
-		delete(l.items, item.ID)
-		pending.wireID = fmt.Sprintf("%x-%d", l.owner.config.Self.Incarnation, item.ID)
-		state := l.admission.Condition(now)
+		pending := l.queued[item.ID]
+		delete(l.queued, item.ID)
+		pending.leafRequestID = fmt.Sprintf("%x-%d", l.owner.config.Self.Incarnation, item.ID)
+		condition := l.admission.Condition(now)
 		client := l.client
 		l.mu.Unlock()
-		l.owner.group.Go(func() { l.send(client, pending, waited, state) })
+		l.owner.group.Go(func() { l.send(client, pending, queueTime, condition) })
 	}
 }
 
 func (l *ownedLeaf) refreshHoldings() {
 	l.mu.Lock()
 	client := l.client
-	opened := l.opened && !l.retired
+	isOpen := l.hasOpened && !l.hasEnded
 	l.mu.Unlock()
-	if !opened {
+	if !isOpen {
 		return
 	}
 	response, err := client.Holdings()
 	if err != nil {
 		return
 	}
-	restarted := l.startChanged(response.Start)
+	restarted := l.hasRestarted(response.Start)
 	l.mu.Lock()
-	l.learn(response)
+	l.updateFrom(response)
 	if restarted {
 		l.admission.OnRestart(l.owner.config.Now())
 	}
@@ -215,7 +218,7 @@
 func (l *ownedLeaf) isOpen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.opened && !l.retired
+	return l.hasOpened && !l.hasEnded
 }
 
 func (l *ownedLeaf) currentHoldings() []fellow.Holding {
@@ -231,74 +234,75 @@
 	return toCondition(l.admission.Condition(now), now)
 }
 
-// sweep opens the leaf when its fence has opened and drops what comes too late.
+// sweep opens the leaf if its fence has timed out, refuses queued requests that can no longer meet their deadline, and sends
+// the requests that the admission now allows.
 func (l *ownedLeaf) sweep() {
 	now := l.owner.config.Now()
 	l.mu.Lock()
-	opens := !l.opened && !l.retired && l.fence.Phase(now) == assigner.FenceOpen
-	var late []*pendingAsk
-	if l.opened {
+	shouldOpen := !l.hasOpened && !l.hasEnded && l.fence.Phase(now) == assigner.FenceOpen
+	var expired []*pendingRequest
+	if l.hasOpened {
 		for _, item := range l.admission.Expire(now) {
-			late = append(late, l.items[item.ID])
-			delete(l.items, item.ID)
+			expired = append(expired, l.queued[item.ID])
+			delete(l.queued, item.ID)
 		}
 	}
 	l.mu.Unlock()
-	if opens {
-		l.owner.config.Note("leaf-opened", string(l.record.ID), "opened as cold after the wait")
+	if shouldOpen {
+		l.owner.config.RecordEvent("leaf-opened", string(l.record.ID), "opened as cold after the wait")
 		l.open()
 	}
-	for _, pending := range late {
-		reply := l.notRun(string(admitter.RefusedDeadline))
+	for _, pending := range expired {
+		reply := l.notRunReply(string(admitter.RefusedDeadline))
 		reply.Overload = true
-		l.owner.settle(pending, reply)
+		l.owner.complete(pending, reply)
 	}
-	l.pump()
+	l.sendAdmitted()
 }
 
-func (l *ownedLeaf) cancel(pending *pendingAsk) {
+func (l *ownedLeaf) cancel(pending *pendingRequest) {
 	l.mu.Lock()
-	queued := l.admission.Remove(pending.itemID)
-	delete(l.items, pending.itemID)
-	client, wireID := l.client, pending.wireID
+	wasQueued := l.admission.Remove(pending.admissionID)
+	delete(l.queued, pending.admissionID)
+	client, leafRequestID := l.client, pending.leafRequestID
 	l.mu.Unlock()
-	if !queued && wireID != "" {
-		l.owner.group.Go(func() { _ = client.Cancel(wireID) })
+	if !wasQueued && leafRequestID != "" {
+		l.owner.group.Go(func() { _ = client.Cancel(leafRequestID) })
 	}
 }
 
-// endOwnership stops sending and returns what the next owner needs.
-func (l *ownedLeaf) endOwnership() fellow.Released {
+// prepareRelease stops sending to the leaf and returns the state that the next owner needs.
+func (l *ownedLeaf) prepareRelease() fellow.Released {
 	now := l.owner.config.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	state := l.admission.Condition(now)
+	condition := l.admission.Condition(now)
 	released := fellow.Released{
-		Leaf: string(l.record.ID), Open: l.opened && !l.retired, Running: state.Running,
-		RunningUntil: l.admission.RemainingRunTime(now), Limit: state.Limit, Latency: state.Latency,
+		Leaf: string(l.record.ID), Open: l.hasOpened && !l.hasEnded, Running: condition.Running,
+		RunningUntil: l.admission.RemainingRunTime(now), Limit: condition.Limit, Latency: condition.Latency,
 	}
-	l.retired = true
+	l.hasEnded = true
 	return released
 }
 
-// retire ends the ownership: what is queued is refused, what is running ends by itself.
-func (l *ownedLeaf) retire(reason string) {
+// endOwnership stops sending to the leaf, refuses its queued requests with the given reason and lets the running ones complete.
+func (l *ownedLeaf) endOwnership(reason string) {
 	l.mu.Lock()
-	l.retired = true
-	var refused []*pendingAsk
+	l.hasEnded = true
+	var refused []*pendingRequest
 	for _, item := range l.admission.RemoveAll() {
-		refused = append(refused, l.items[item.ID])
-		delete(l.items, item.ID)
+		refused = append(refused, l.queued[item.ID])
+		delete(l.queued, item.ID)
 	}
 	client := l.client
 	l.mu.Unlock()
 	client.Close()
 	for _, pending := range refused {
-		l.owner.settle(pending, fellow.Reply{Kind: fellow.KindNotRun, Reason: reason})
+		l.owner.complete(pending, fellow.Reply{Kind: fellow.KindNotRun, Reason: reason})
 	}
 }
 
-func (l *ownedLeaf) notRun(reason string) fellow.Reply {
+func (l *ownedLeaf) notRunReply(reason string) fellow.Reply {
 	return fellow.Reply{Kind: fellow.KindNotRun, Reason: reason, Condition: l.condition(), Holdings: l.currentHoldings()}
 }
 
--- a/pkg/owner/owned_leaf_exchange.go
+++ b/pkg/owner/owned_leaf_exchange.go
@@ -1,5 +1,6 @@
-// An exchange is one request at a leaf; its end is a reply to the asking
-// instance, and what the owner learns of the leaf.
+// An exchange is one request to a leaf. Its result becomes the reply to the
+// instance that sent the request, and also updates the admission and the
+// holdings of the leaf.
 
 package owner
 
@@ -13,35 +14,36 @@
 	"lovagedeck/pkg/leaf"
 )
 
-func (l *ownedLeaf) send(client *leaf.Client, pending *pendingAsk, waited time.Duration, state admitter.Condition) {
+func (l *ownedLeaf) send(client *leaf.Client, pending *pendingRequest, queueTime time.Duration, conditionAtSend admitter.Condition) {
 	now := l.owner.config.Now()
 	remaining := pending.deadline - now
-	request := leaf.Request{
-		ID: pending.wireID, Query: pending.ask.Query, Service: pending.ask.Service, Shard: pending.ask.Shard,
-		Index: pending.ask.Index, Version: pending.ask.Version, RemainingUs: remaining.Microseconds(),
-		Effect: pending.ask.Effect, Text: pending.ask.Text,
+	leafRequest := leaf.Request{
+		ID: pending.leafRequestID, Query: pending.request.Query, Service: pending.request.Service, Shard: pending.request.Shard,
+		Index: pending.request.Index, Version: pending.request.Version, RemainingUs: remaining.Microseconds(),
+		Effect: pending.request.Effect, Text: pending.request.Text,
 	}
-	l.owner.sent.Inc()
-	exchange, err := client.Search(request, max(remaining, 0)+leafSlack)
-	reply, outcome := l.judge(exchange, err)
-	reply.Queue, reply.Connect, reply.LeafTime = waited, exchange.Connect(), exchange.Leaf()
+	l.owner.sentCount.Inc()
+	exchange, err := client.Search(leafRequest, max(remaining, 0)+responseMargin)
+	reply, outcome := l.classify(exchange, err)
+	reply.Queue, reply.Connect, reply.LeafTime = queueTime, exchange.Connect(), exchange.Leaf()
 	now = l.owner.config.Now()
 	l.mu.Lock()
-	l.admission.Done(pending.itemID, outcome, now)
-	l.learn(exchange.Response())
+	l.admission.Done(pending.admissionID, outcome, now)
+	l.updateFrom(exchange.Response())
 	reply.Condition = toCondition(l.admission.Condition(now), now)
-	reply.Condition.ClosedFor = now - state.LimitResetAt
-	reply.Condition.ClosedReason = state.LimitResetReason
+	// The last reset of the limit is reported as it was known when the request was sent.
+	reply.Condition.ClosedFor = now - conditionAtSend.LimitResetAt
+	reply.Condition.ClosedReason = conditionAtSend.LimitResetReason
 	reply.Holdings = l.holdings
 	l.mu.Unlock()
-	l.owner.settle(pending, reply)
-	l.pump()
+	l.owner.complete(pending, reply)
+	l.sendAdmitted()
 }
 
-// judge turns the end of an exchange into a reply and into evidence for the admission.
-func (l *ownedLeaf) judge(exchange leaf.Exchange, err error) (fellow.Reply, admitter.Outcome) {
+// classify returns the reply for a finished exchange and the outcome to record with the admission.
+func (l *ownedLeaf) classify(exchange leaf.Exchange, err error) (fellow.Reply, admitter.Outcome) {
 	if err != nil {
-		return judgeError(err)
+		return classifyError(err)
 	}
 	response := exchange.Response()
 	reply := fellow.Reply{Index: response.Index, Version: response.Version, Shard: response.Shard, Reason: response.Reason}
@@ -49,7 +51,7 @@
 	case exchange.OK():
 		reply.Kind = fellow.KindHit
 		reply.Body = response.Hits
-		if l.startChanged(response.Start) {
+		if l.hasRestarted(response.Start) {
 			return reply, admitter.Restarted{}
 		}
 		return reply, admitter.Answered{}
@@ -65,41 +67,42 @@
 	return reply, admitter.Cancelled{}
 }
 
-func judgeError(err error) (fellow.Reply, admitter.Outcome) {
+func classifyError(err error) (fellow.Reply, admitter.Outcome) {
 	reply := fellow.Reply{Kind: fellow.KindUnknown, Reason: err.Error(), Faulty: true}
-	var fault *leaf.Error
-	if !errors.As(err, &fault) {
+	var leafError *leaf.Error
+	if !errors.As(err, &leafError) {
 		return reply, admitter.ConnectionFailed{}
 	}
-	if fault.Step() == leaf.StepGate {
-		return fellow.Reply{Kind: fellow.KindNotRun, Reason: fault.Unwrap().Error()}, admitter.Cancelled{}
+	if leafError.Step() == leaf.StepGate {
+		return fellow.Reply{Kind: fellow.KindNotRun, Reason: leafError.Unwrap().Error()}, admitter.Cancelled{}
 	}
-	if fault.NotSent() {
+	if leafError.NotSent() {
 		reply.Kind = fellow.KindNotRun
 		reply.Reason = fellow.ReasonConnect
 		return reply, admitter.ConnectionFailed{}
 	}
-	reply.Reason = string(fault.Step())
-	if fault.Timeout() {
+	reply.Reason = string(leafError.Step())
+	if leafError.Timeout() {
 		reply.Reason = "leaf-timeout"
 		return reply, admitter.TimedOut{}
 	}
 	return reply, admitter.ConnectionFailed{}
 }
 
-func (l *ownedLeaf) startChanged(start string) bool {
+// hasRestarted reports whether start identifies another process start than the one last seen.
+func (l *ownedLeaf) hasRestarted(start string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.start != "" && start != "" && l.start != start
+	return l.startID != "" && start != "" && l.startID != start
 }
 
-// learn takes what a response says of the leaf; l.mu is held.
-func (l *ownedLeaf) learn(response leaf.Response) {
+// updateFrom records the process start and the holdings stated in a response; l.mu must be held.
+func (l *ownedLeaf) updateFrom(response leaf.Response) {
 	if response.Start != "" {
-		if l.start != "" && l.start != response.Start {
-			l.owner.config.Note("leaf-restarted", string(l.record.ID), "the leaf started again")
+		if l.startID != "" && l.startID != response.Start {
+			l.owner.config.RecordEvent("leaf-restarted", string(l.record.ID), "the leaf started again")
 		}
-		l.start = response.Start
+		l.startID = response.Start
 	}
 	if len(response.Holdings) == 0 {
 		return
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -21,101 +21,111 @@
 )
 
 type (
-	// ReplyTo sends a reply to the instance that asked.
-	ReplyTo func(to tabulator.MemberID, address string, reply fellow.Reply)
+	// SendReply sends a reply to the instance that sent the request.
+	SendReply func(to tabulator.MemberID, address string, reply fellow.Reply)
 
-	// AskRelease asks a former owner to give up a leaf; it returns false when it could not be reached.
-	AskRelease func(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.Released, bool)
+	// RequestRelease asks the previous owner to release a leaf, and returns false if that owner could not be reached.
+	RequestRelease func(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.Released, bool)
 
-	// Note records an event for the time line.
-	Note func(kind, peer, text string)
+	// RecordEvent adds an event to the timeline of the instance.
+	RecordEvent func(kind, peer, text string)
 
-	// Config is what an Owner needs of its instance.
+	// Config holds the settings of an Owner and the functions of the instance that it uses.
 	Config struct {
 		Self       tabulator.MemberID
 		DataCentre string
-		Now        func() time.Duration
-		LeaseHeld  func(now time.Duration) bool
-		ReplyTo    ReplyTo
-		AskRelease AskRelease
-		Note       Note
-		Dial       leaf.Dial
-		Growth     admitter.Growth
-		SplitOver  int
+		// Now returns the time since a fixed start on a monotonic clock.
+		Now func() time.Duration
+		// LeaseHeld reports whether this instance holds a valid lease at the given time.
+		LeaseHeld      func(now time.Duration) bool
+		SendReply      SendReply
+		RequestRelease RequestRelease
+		RecordEvent    RecordEvent
+		Dial           leaf.Dial
+		Growth         admitter.Growth
+		// SplitInstances is the number of instances that each use an equal share of the slots and connections of every leaf.
+		// Zero means that each leaf has one owner.
+		SplitInstances int
 	}
 
-	// Owner admits and sends requests for the leafs of this instance.
+	// Owner admits and sends requests for the leafs that this instance owns.
 	Owner struct {
 		config     Config
 		mu         sync.RWMutex
-		leafs      map[assigner.LeafID]*ownedLeaf
-		releasedAt map[assigner.LeafID]uint64
-		ceded      map[assigner.LeafID]cededLeaf
-		asks       map[askKey]*pendingAsk
-		view       *tabulator.View
-		assignment *assigner.Map
-		roster     map[assigner.LeafID]coordinator.LeafRecord
-		sequence   uint64
-		group      conc.WaitGroup
-		stop       chan struct{}
-		draining   bool
-		sent       *metrics.Counter
-		refused    *metrics.Counter
+		ownedLeafs map[assigner.LeafID]*ownedLeaf
+		// releasedInEpoch is the latest epoch in which another member requested the release of each leaf. The leaf is not
+		// acquired again until a later epoch assigns it to this instance.
+		releasedInEpoch   map[assigner.LeafID]uint64
+		unclaimedReleases map[assigner.LeafID]unclaimedRelease
+		pendingRequests   map[requestKey]*pendingRequest
+		view              *tabulator.View
+		assignment        *assigner.Map
+		records           map[assigner.LeafID]coordinator.LeafRecord
+		sequence          uint64
+		group             conc.WaitGroup
+		stop              chan struct{}
+		isDraining        bool
+		sentCount         *metrics.Counter
+		refusedCount      *metrics.Counter
 	}
 
-	askKey struct {
+	// requestKey identifies a request by the instance that sent it and the identifier that this instance gave it.
+	requestKey struct {
 		from tabulator.MemberID
 		id   uint64
 	}
 
-	// cededLeaf is what this instance knows of a leaf that it no longer owns and that no other instance asked for yet.
-	cededLeaf struct {
+	// unclaimedRelease is the state of a leaf that this instance no longer owns and that the next owner has not yet requested.
+	unclaimedRelease struct {
 		released fellow.Released
-		at       time.Duration
+		endedAt  time.Duration
 	}
 
-	// pendingAsk is an ask that the owner has taken and not replied to yet.
-	pendingAsk struct {
-		key      askKey
-		address  string
-		ask      fellow.Ask
-		owned    *ownedLeaf
-		itemID   uint64
-		deadline time.Duration
-		wireID   string
+	// pendingRequest is a request that was received and not yet replied to.
+	pendingRequest struct {
+		key          requestKey
+		replyAddress string
+		request      fellow.Ask
+		leaf         *ownedLeaf
+		admissionID  uint64
+		deadline     time.Duration
+		// leafRequestID identifies the request at the leaf; it is empty until the request is sent.
+		leafRequestID string
 	}
 )
 
-// New returns an owner without leafs; Run starts its upkeep.
+// New returns an owner without leafs, whose counters are in set.
 func New(config Config, set *metrics.Set) *Owner {
 	return &Owner{
-		config: config, leafs: map[assigner.LeafID]*ownedLeaf{}, releasedAt: map[assigner.LeafID]uint64{}, ceded: map[assigner.LeafID]cededLeaf{},
-		asks: map[askKey]*pendingAsk{}, view: tabulator.NewView(), assignment: assigner.NewMap(tabulator.NewView()),
-		roster: map[assigner.LeafID]coordinator.LeafRecord{}, stop: make(chan struct{}),
-		sent: set.GetOrCreateCounter("lovagedeck_leaf_requests_total"), refused: set.GetOrCreateCounter("lovagedeck_leaf_refusals_total"),
+		config: config, ownedLeafs: map[assigner.LeafID]*ownedLeaf{}, releasedInEpoch: map[assigner.LeafID]uint64{},
+		unclaimedReleases: map[assigner.LeafID]unclaimedRelease{},
+		pendingRequests:   map[requestKey]*pendingRequest{}, view: tabulator.NewView(), assignment: assigner.NewMap(tabulator.NewView()),
+		records: map[assigner.LeafID]coordinator.LeafRecord{}, stop: make(chan struct{}),
+		sentCount:    set.GetOrCreateCounter("lovagedeck_leaf_requests_total"),
+		refusedCount: set.GetOrCreateCounter("lovagedeck_leaf_refusals_total"),
 	}
 }
 
-// Run keeps the owned leafs until Close.
+// Run starts the periodic maintenance of the owned leafs and returns; Close stops it.
 func (o *Owner) Run() {
 	o.group.Go(o.sweepLoop)
 	o.group.Go(o.holdingsLoop)
 }
 
-// Close gives up every leaf and waits for what is running.
+// Close refuses all queued requests and waits for the running ones to end.
 func (o *Owner) Close() {
 	close(o.stop)
 	o.mu.Lock()
-	leafs := o.leafs
-	o.leafs = map[assigner.LeafID]*ownedLeaf{}
+	leafs := o.ownedLeafs
+	o.ownedLeafs = map[assigner.LeafID]*ownedLeaf{}
 	o.mu.Unlock()
 	for _, owned := range leafs {
-		owned.retire(fellow.ReasonNotOwner)
+		owned.endOwnership(fellow.ReasonNotOwner)
 	}
 	o.group.Wait()
 }
 
-// OnView takes a new table and membership.
+// OnView applies a new table and membership.
 func (o *Owner) OnView(view *tabulator.View) {
 	o.mu.Lock()
 	o.view = view
@@ -124,53 +134,53 @@
 	o.mu.Unlock()
 }
 
-// OnRoster takes a new roster of leafs.
-func (o *Owner) OnRoster(records []coordinator.LeafRecord) {
-	roster := make(map[assigner.LeafID]coordinator.LeafRecord, len(records))
+// OnLeafList replaces the list of known leafs.
+func (o *Owner) OnLeafList(records []coordinator.LeafRecord) {
+	recordsByID := make(map[assigner.LeafID]coordinator.LeafRecord, len(records))
 	for _, record := range records {
-		roster[record.ID] = record
+		recordsByID[record.ID] = record
 	}
 	o.mu.Lock()
-	o.roster = roster
+	o.records = recordsByID
 	o.reconcile()
 	o.mu.Unlock()
 }
 
-// OnAsks takes requests of an instance, which may be this one.
-func (o *Owner) OnAsks(from tabulator.MemberID, address string, asks []fellow.Ask) {
-	for _, ask := range asks {
-		o.onAsk(from, address, ask)
+// OnRequests processes requests of an instance, which may be this one, and replies to address.
+func (o *Owner) OnRequests(from tabulator.MemberID, address string, requests []fellow.Ask) {
+	for _, request := range requests {
+		o.onRequest(from, address, request)
 	}
 }
 
-// OnCancels gives up requests that the instance no longer waits for.
+// OnCancels cancels the requests of an instance that have the given identifiers; it sends no reply for them.
 func (o *Owner) OnCancels(from tabulator.MemberID, ids []uint64) {
 	for _, id := range ids {
-		key := askKey{from: from, id: id}
+		key := requestKey{from: from, id: id}
 		o.mu.Lock()
-		pending := o.asks[key]
-		delete(o.asks, key)
+		pending := o.pendingRequests[key]
+		delete(o.pendingRequests, key)
 		o.mu.Unlock()
 		if pending != nil {
-			pending.owned.cancel(pending)
+			pending.leaf.cancel(pending)
 		}
 	}
 }
 
-// Holdings returns what the owned ones of the leafs hold.
+// Holdings returns the holdings of those of the given leafs that are owned here and have reported any, by leaf identifier.
 func (o *Owner) Holdings(ids []string) map[string][]fellow.Holding {
-	found := make(map[string][]fellow.Holding, len(ids))
+	holdingsByLeaf := make(map[string][]fellow.Holding, len(ids))
 	for _, id := range ids {
-		if owned := o.find(assigner.LeafID(id)); owned != nil {
+		if owned := o.findLeaf(assigner.LeafID(id)); owned != nil {
 			if holdings := owned.currentHoldings(); len(holdings) > 0 {
-				found[id] = holdings
+				holdingsByLeaf[id] = holdings
 			}
 		}
 	}
-	return found
+	return holdingsByLeaf
 }
 
-// Release gives up leafs for another owner and returns what it needs to know of them.
+// Release ends the ownership of the requested leafs and returns the state of each for the next owner.
 func (o *Owner) Release(query fellow.ReleaseQuery) []fellow.Released {
 	released := make([]fellow.Released, 0, len(query.Leafs))
 	for _, id := range query.Leafs {
@@ -179,136 +189,136 @@
 	return released
 }
 
-// Drain stops taking new requests, and keeps what is queued and running.
+// Drain marks the owner as draining; queued and running requests are not affected.
 func (o *Owner) Drain() {
 	o.mu.Lock()
-	o.draining = true
+	o.isDraining = true
 	o.mu.Unlock()
 }
 
-// Held returns how many leafs this instance holds.
-func (o *Owner) Held() int {
+// LeafCount returns the number of leafs that this instance owns.
+func (o *Owner) LeafCount() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	return len(o.leafs)
+	return len(o.ownedLeafs)
 }
 
-// Opened returns how many leafs this instance may send to.
-func (o *Owner) Opened() int {
-	opened := 0
-	o.each(func(owned *ownedLeaf) {
+// OpenLeafCount returns the number of owned leafs whose fence has opened.
+func (o *Owner) OpenLeafCount() int {
+	count := 0
+	o.forEachLeaf(func(owned *ownedLeaf) {
 		if owned.isOpen() {
-			opened++
+			count++
 		}
 	})
-	return opened
+	return count
 }
 
-// Conditions returns the condition of each owned leaf.
+// Conditions returns the load and admission state of each owned leaf.
 func (o *Owner) Conditions() map[assigner.LeafID]fellow.Condition {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	conditions := make(map[assigner.LeafID]fellow.Condition, len(o.leafs))
-	for id, owned := range o.leafs {
+	conditions := make(map[assigner.LeafID]fellow.Condition, len(o.ownedLeafs))
+	for id, owned := range o.ownedLeafs {
 		conditions[id] = owned.condition()
 	}
 	return conditions
 }
 
-// Busy returns how many requests are queued or running.
-func (o *Owner) Busy() int {
+// PendingCount returns the number of requests that are queued or running.
+func (o *Owner) PendingCount() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	return len(o.asks)
+	return len(o.pendingRequests)
 }
 
-func (o *Owner) find(id assigner.LeafID) *ownedLeaf {
+func (o *Owner) findLeaf(id assigner.LeafID) *ownedLeaf {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	return o.leafs[id]
+	return o.ownedLeafs[id]
 }
 
-func (o *Owner) onAsk(from tabulator.MemberID, address string, ask fellow.Ask) {
+func (o *Owner) onRequest(from tabulator.MemberID, address string, request fellow.Ask) {
 	now := o.config.Now()
-	pending := &pendingAsk{
-		key: askKey{from: from, id: ask.ID}, address: address, ask: ask,
-		deadline: now + time.Duration(ask.RemainingUs)*time.Microsecond,
+	pending := &pendingRequest{
+		key: requestKey{from: from, id: request.ID}, replyAddress: address, request: request,
+		deadline: now + time.Duration(request.RemainingUs)*time.Microsecond,
 	}
 	o.mu.Lock()
-	owned := o.leafs[assigner.LeafID(ask.Leaf)]
+	owned := o.ownedLeafs[assigner.LeafID(request.Leaf)]
 	epoch := o.assignment.Epoch()
-	_, duplicate := o.asks[pending.key]
-	if owned == nil || duplicate || !o.config.LeaseHeld(now) {
+	_, isDuplicate := o.pendingRequests[pending.key]
+	if owned == nil || isDuplicate || !o.config.LeaseHeld(now) {
 		o.mu.Unlock()
-		if duplicate {
+		if isDuplicate {
 			return
 		}
-		o.refuse(pending, o.refusalWithout(owned), epoch)
+		o.refuse(pending, o.refusalReason(owned), epoch)
 		return
 	}
 	o.sequence++
-	pending.itemID = o.sequence
-	pending.owned = owned
-	o.asks[pending.key] = pending
+	pending.admissionID = o.sequence
+	pending.leaf = owned
+	o.pendingRequests[pending.key] = pending
 	o.mu.Unlock()
-	owned.offer(pending, now)
+	owned.submit(pending, now)
 }
 
-func (o *Owner) refusalWithout(owned *ownedLeaf) string {
+func (o *Owner) refusalReason(owned *ownedLeaf) string {
 	if owned == nil {
 		return fellow.ReasonNotOwner
 	}
 	return fellow.ReasonNoLease
 }
 
-func (o *Owner) refuse(pending *pendingAsk, reason string, epoch uint64) {
-	o.refused.Inc()
-	o.config.ReplyTo(pending.key.from, pending.address, fellow.Reply{
-		ID: pending.ask.ID, Leaf: pending.ask.Leaf, Kind: fellow.KindNotRun, Reason: reason, Epoch: epoch,
+func (o *Owner) refuse(pending *pendingRequest, reason string, epoch uint64) {
+	o.refusedCount.Inc()
+	o.config.SendReply(pending.key.from, pending.replyAddress, fellow.Reply{
+		ID: pending.request.ID, Leaf: pending.request.Leaf, Kind: fellow.KindNotRun, Reason: reason, Epoch: epoch,
 	})
 }
 
-// settle replies to an ask unless it was cancelled, in which case nobody waits for it.
-func (o *Owner) settle(pending *pendingAsk, reply fellow.Reply) {
+// complete removes a pending request and replies to it, unless it was cancelled in the meantime.
+func (o *Owner) complete(pending *pendingRequest, reply fellow.Reply) {
 	o.mu.Lock()
-	_, waiting := o.asks[pending.key]
-	delete(o.asks, pending.key)
+	_, isPending := o.pendingRequests[pending.key]
+	delete(o.pendingRequests, pending.key)
 	reply.Epoch = o.assignment.Epoch()
 	o.mu.Unlock()
-	if !waiting {
+	if !isPending {
 		return
 	}
 	if reply.Kind == fellow.KindNotRun {
-		o.refused.Inc()
+		o.refusedCount.Inc()
 	}
-	reply.ID = pending.ask.ID
-	reply.Leaf = pending.ask.Leaf
-	o.config.ReplyTo(pending.key.from, pending.address, reply)
+	reply.ID = pending.request.ID
+	reply.Leaf = pending.request.Leaf
+	o.config.SendReply(pending.key.from, pending.replyAddress, reply)
 }
 
-func (o *Owner) each(visit func(*ownedLeaf)) {
+func (o *Owner) forEachLeaf(visit func(*ownedLeaf)) {
 	o.mu.RLock()
-	leafs := make([]*ownedLeaf, 0, len(o.leafs))
-	for _, owned := range o.leafs {
-		leafs = append(leafs, owned)
+	snapshot := make([]*ownedLeaf, 0, len(o.ownedLeafs))
+	for _, owned := range o.ownedLeafs {
+		snapshot = append(snapshot, owned)
 	}
 	o.mu.RUnlock()
-	for _, owned := range leafs {
+	for _, owned := range snapshot {
 		visit(owned)
 	}
 }
 
 func (o *Owner) sweepLoop() {
-	o.every(sweepInterval, func() { o.each((*ownedLeaf).sweep) })
+	o.runEvery(sweepInterval, func() { o.forEachLeaf((*ownedLeaf).sweep) })
 }
 
 func (o *Owner) holdingsLoop() {
-	o.every(holdingsInterval, func() {
-		o.each(func(owned *ownedLeaf) { o.group.Go(owned.refreshHoldings) })
+	o.runEvery(holdingsInterval, func() {
+		o.forEachLeaf(func(owned *ownedLeaf) { o.group.Go(owned.refreshHoldings) })
 	})
 }
 
-func (o *Owner) every(interval time.Duration, work func()) {
+func (o *Owner) runEvery(interval time.Duration, work func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -22,11 +22,12 @@
 )
 
 var (
-	self  = tabulator.MemberID{Instance: "e1", Incarnation: 1}
-	asker = tabulator.MemberID{Instance: "e9", Incarnation: 1}
+	self      = tabulator.MemberID{Instance: "e1", Incarnation: 1}
+	requester = tabulator.MemberID{Instance: "e9", Incarnation: 1}
 )
 
-// TestMain serves one request outside any bubble, since fasthttp then starts a goroutine that never ends.
+// TestMain serves one request outside any synctest bubble, because the first request makes fasthttp start a goroutine that
+// never ends, and a bubble waits for the goroutines started in it.
 func TestMain(m *testing.M) {
 	listener := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}}
@@ -38,277 +39,280 @@
 	os.Exit(m.Run())
 }
 
-// bench is one owner of one leaf, with what both of them saw.
-type bench struct {
-	owner    *Owner
-	machine  *tabulator.Machine
-	view     *tabulator.View
-	listener *fasthttputil.InmemoryListener
-	server   *fasthttp.Server
-	mu       sync.Mutex
-	lease    bool
-	received int
-	cancels  int
-	highest  int
-	running  int
-	work     time.Duration
-	replies  []fellow.Reply
-	release  fellow.Released
-	reached  bool
+// harness runs one owner with one leaf, and records the requests that the leaf receives and the replies of the owner.
+type harness struct {
+	owner         *Owner
+	machine       *tabulator.Machine
+	view          *tabulator.View
+	listener      *fasthttputil.InmemoryListener
+	server        *fasthttp.Server
+	mu            sync.Mutex
+	holdsLease    bool
+	receivedCount int
+	cancelCount   int
+	maxRunning    int
+	running       int
+	serviceTime   time.Duration
+	replies       []fellow.Reply
+	release       fellow.Released
+	isReached     bool
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	b := &bench{
+	h := &harness{
 		machine: tabulator.NewMachine(), view: tabulator.NewView(), listener: fasthttputil.NewInmemoryListener(),
-		lease: true, work: 5 * time.Millisecond,
+		holdsLease: true, serviceTime: 5 * time.Millisecond,
 	}
-	b.server = &fasthttp.Server{Handler: b.handle, NoDefaultDate: true}
-	go func() { _ = b.server.Serve(b.listener) }()
-	begun := time.Now()
-	b.owner = New(Config{
-		Self: self, DataCentre: "d", Now: func() time.Duration { return time.Since(begun) },
-		LeaseHeld: func(time.Duration) bool { b.mu.Lock(); defer b.mu.Unlock(); return b.lease },
-		ReplyTo: func(_ tabulator.MemberID, _ string, reply fellow.Reply) {
-			b.mu.Lock()
-			b.replies = append(b.replies, reply)
-			b.mu.Unlock()
+	h.server = &fasthttp.Server{Handler: h.handle, NoDefaultDate: true}
+	go func() { _ = h.server.Serve(h.listener) }()
+	startedAt := time.Now()
+	h.owner = New(Config{
+		Self: self, DataCentre: "d", Now: func() time.Duration { return time.Since(startedAt) },
+		LeaseHeld: func(time.Duration) bool { h.mu.Lock(); defer h.mu.Unlock(); return h.holdsLease },
+		SendReply: func(_ tabulator.MemberID, _ string, reply fellow.Reply) {
+			h.mu.Lock()
+			h.replies = append(h.replies, reply)
+			h.mu.Unlock()
 		},
-		AskRelease: func(tabulator.Member, uint64, assigner.LeafID) (fellow.Released, bool) {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			return b.release, b.reached
+		RequestRelease: func(tabulator.Member, uint64, assigner.LeafID) (fellow.Released, bool) {
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			return h.release, h.isReached
 		},
-		Note: func(string, string, string) {}, Growth: admitter.AdditiveGrowth{},
-		Dial: func(string, time.Duration) (net.Conn, error) { return b.listener.Dial() },
+		RecordEvent: func(string, string, string) {}, Growth: admitter.AdditiveGrowth{},
+		Dial: func(string, time.Duration) (net.Conn, error) { return h.listener.Dial() },
 	}, metrics.NewSet())
-	b.owner.Run()
-	b.apply(t, tabulator.ChangeRows{ChangeID: "rows", Rows: []tabulator.RowFields{{
+	h.owner.Run()
+	h.apply(t, tabulator.ChangeRows{ChangeID: "rows", Rows: []tabulator.RowFields{{
 		Service: "s", DataCentre: "d", Weight: 1, Slots: 2, Connections: 5, DeadlineMs: 50, State: tabulator.StateIn,
 	}}})
-	b.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e0", Incarnation: 1, DataCentre: "far"}})
-	b.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e1", Incarnation: 1, DataCentre: "d"}})
-	b.roster(false)
-	return b
+	h.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e0", Incarnation: 1, DataCentre: "far"}})
+	h.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e1", Incarnation: 1, DataCentre: "d"}})
+	h.setLeaf(false)
+	return h
 }
 
-func (b *bench) handle(ctx *fasthttp.RequestCtx) {
+func (h *harness) handle(ctx *fasthttp.RequestCtx) {
 	var request leaf.Request
 	_ = json.Unmarshal(ctx.PostBody(), &request)
 	response := leaf.Response{ID: request.ID, Index: request.Index, Version: request.Version, Shard: request.Shard, Start: "1"}
 	switch string(ctx.Path()) {
 	case leaf.PathCancel:
-		b.mu.Lock()
-		b.cancels++
-		b.mu.Unlock()
+		h.mu.Lock()
+		h.cancelCount++
+		h.mu.Unlock()
 		return
 	case leaf.PathSearch:
-		b.mu.Lock()
-		b.received++
-		b.running++
-		b.highest = max(b.highest, b.running)
-		work := b.work
-		b.mu.Unlock()
-		time.Sleep(work)
-		b.mu.Lock()
-		b.running--
-		b.mu.Unlock()
+		h.mu.Lock()
+		h.receivedCount++
+		h.running++
+		h.maxRunning = max(h.maxRunning, h.running)
+		serviceTime := h.serviceTime
+		h.mu.Unlock()
+		time.Sleep(serviceTime)
+		h.mu.Lock()
+		h.running--
+		h.mu.Unlock()
 	}
 	body, _ := json.Marshal(response)
 	ctx.SetBody(body)
 }
 
-func (b *bench) apply(t *testing.T, command tabulator.Command) {
+func (h *harness) apply(t *testing.T, command tabulator.Command) {
 	t.Helper()
-	b.machine.Apply(command)
-	view, err := b.view.Apply(b.machine.Delta(b.view.Revision()))
+	h.machine.Apply(command)
+	view, err := h.view.Apply(h.machine.Delta(h.view.Revision()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.view = view
-	b.owner.OnView(view)
+	h.view = view
+	h.owner.OnView(view)
 }
 
-func (b *bench) roster(leaving bool) {
-	b.owner.OnRoster([]coordinator.LeafRecord{{ID: "leaf", Service: "s", DataCentre: "d", Address: "leaf", IsDraining: leaving}})
+func (h *harness) setLeaf(isDraining bool) {
+	h.owner.OnLeafList([]coordinator.LeafRecord{{ID: "leaf", Service: "s", DataCentre: "d", Address: "leaf", IsDraining: isDraining}})
 }
 
-func (b *bench) ask(id uint64, remaining time.Duration) {
-	b.owner.OnAsks(asker, "", []fellow.Ask{{ID: id, Leaf: "leaf", Service: "s", RemainingUs: remaining.Microseconds(), Caller: "c", Priority: 1}})
+func (h *harness) sendRequest(id uint64, remaining time.Duration) {
+	h.owner.OnRequests(requester, "", []fellow.Ask{{ID: id, Leaf: "leaf", Service: "s", RemainingUs: remaining.Microseconds(), Caller: "c", Priority: 1}})
 }
 
-func (b *bench) outcomes() map[string]int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	outcomes := map[string]int{}
-	for _, reply := range b.replies {
+func (h *harness) replyCounts() map[string]int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	counts := map[string]int{}
+	for _, reply := range h.replies {
 		key := reply.Reason
 		if reply.Kind == fellow.KindHit {
 			key = "hit"
 		}
-		outcomes[key]++
+		counts[key]++
 	}
-	return outcomes
+	return counts
 }
 
-// get reads a count that the leaf writes.
-func (b *bench) get(count *int) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// read returns a count that the handler of the leaf updates.
+func (h *harness) read(count *int) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	return *count
 }
 
-func (b *bench) setWork(work time.Duration) {
-	b.mu.Lock()
-	b.work = work
-	b.mu.Unlock()
+func (h *harness) setServiceTime(serviceTime time.Duration) {
+	h.mu.Lock()
+	h.serviceTime = serviceTime
+	h.mu.Unlock()
 }
 
-func (b *bench) setRelease(release fellow.Released) {
-	b.mu.Lock()
-	b.release, b.reached = release, true
-	b.mu.Unlock()
+func (h *harness) setRelease(release fellow.Released) {
+	h.mu.Lock()
+	h.release, h.isReached = release, true
+	h.mu.Unlock()
 }
 
-func (b *bench) setLease(held bool) {
-	b.mu.Lock()
-	b.lease = held
-	b.mu.Unlock()
+func (h *harness) setLease(isHeld bool) {
+	h.mu.Lock()
+	h.holdsLease = isHeld
+	h.mu.Unlock()
 }
 
-func (b *bench) close() {
-	b.owner.Close()
-	_ = b.server.Shutdown()
-	_ = b.listener.Close()
+func (h *harness) close() {
+	h.owner.Close()
+	_ = h.server.Shutdown()
+	_ = h.listener.Close()
 	time.Sleep(2 * time.Minute)
 }
 
-func TestFencedOwnerSendsNothing(t *testing.T) {
+func TestFencedOwnerRefusesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		defer b.close()
-		time.Sleep(assigner.FenceWait() - 50*time.Millisecond)
-		b.ask(1, time.Second)
+		h := newHarness(t)
+		defer h.close()
+		time.Sleep(assigner.FenceTimeout() - 50*time.Millisecond)
+		h.sendRequest(1, time.Second)
 		time.Sleep(10 * time.Millisecond)
-		if b.get(&b.received) != 0 || b.outcomes()[fellow.ReasonFenced] != 1 {
-			t.Errorf("%d received, replies %v", b.get(&b.received), b.outcomes())
+		if h.read(&h.receivedCount) != 0 || h.replyCounts()[fellow.ReasonFenced] != 1 {
+			t.Errorf("before the fence timeout: got %d requests at the leaf and replies %v, want none and one %s",
+				h.read(&h.receivedCount), h.replyCounts(), fellow.ReasonFenced)
 		}
 		time.Sleep(100 * time.Millisecond)
-		b.ask(2, time.Second)
+		h.sendRequest(2, time.Second)
 		time.Sleep(time.Second)
-		if b.get(&b.received) != 1 || b.outcomes()["hit"] != 1 {
-			t.Errorf("after the wait: %d received, replies %v", b.get(&b.received), b.outcomes())
+		if h.read(&h.receivedCount) != 1 || h.replyCounts()["hit"] != 1 {
+			t.Errorf("after the fence timeout: got %d requests at the leaf and replies %v, want one and one hit", h.read(&h.receivedCount), h.replyCounts())
 		}
 	})
 }
 
-func TestReleaseOpensAtOnceAndCountsWhatRuns(t *testing.T) {
+func TestReleaseOpensFenceAndReservesSlotsOfRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		defer b.close()
-		b.apply(t, tabulator.Remove{Instance: "e1", Incarnation: 1, Reason: tabulator.RemovedExpired})
-		b.setRelease(fellow.Released{Open: true, Running: 1, RunningUntil: time.Second, Limit: 2, Latency: 5 * time.Millisecond})
-		b.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e1", Incarnation: 1, DataCentre: "d", Via: "again"}})
+		h := newHarness(t)
+		defer h.close()
+		h.apply(t, tabulator.Remove{Instance: "e1", Incarnation: 1, Reason: tabulator.RemovedExpired})
+		h.setRelease(fellow.Released{Open: true, Running: 1, RunningUntil: time.Second, Limit: 2, Latency: 5 * time.Millisecond})
+		h.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e1", Incarnation: 1, DataCentre: "d", Via: "again"}})
 		time.Sleep(50 * time.Millisecond)
 		for id := range uint64(6) {
-			b.ask(id+1, 900*time.Millisecond)
+			h.sendRequest(id+1, 900*time.Millisecond)
 		}
 		time.Sleep(500 * time.Millisecond)
-		if b.get(&b.highest) != 1 || b.outcomes()["hit"] != 6 {
-			t.Errorf("%d ran at once beside one of the former owner, replies %v", b.get(&b.highest), b.outcomes())
+		if h.read(&h.maxRunning) != 1 || h.replyCounts()["hit"] != 6 {
+			t.Errorf("got at most %d concurrent requests and replies %v, want 1 beside the one of the previous owner, and 6 hits",
+				h.read(&h.maxRunning), h.replyCounts())
 		}
 	})
 }
 
-func TestNothingIsSent(t *testing.T) {
+func TestUnavailableLeafReceivesNothing(t *testing.T) {
 	tests := []struct {
 		name   string
-		set    func(t *testing.T, b *bench)
+		setUp  func(t *testing.T, h *harness)
 		reason string
 	}{
-		{"without a lease", func(_ *testing.T, b *bench) { b.setLease(false) }, fellow.ReasonNoLease},
-		{"to a data centre that is out", func(t *testing.T, b *bench) {
-			b.apply(t, tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
+		{"no lease", func(_ *testing.T, h *harness) { h.setLease(false) }, fellow.ReasonNoLease},
+		{"data centre out of service", func(t *testing.T, h *harness) {
+			h.apply(t, tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
 		}, fellow.ReasonTakenOut},
-		{"to a leaving leaf", func(_ *testing.T, b *bench) { b.roster(true) }, fellow.ReasonTakenOut},
-		{"to a leaf that is gone from the list", func(_ *testing.T, b *bench) { b.owner.OnRoster(nil) }, fellow.ReasonNotOwner},
-		{"after the leaf was released", func(_ *testing.T, b *bench) {
-			b.owner.Release(fellow.ReleaseQuery{From: asker, Epoch: b.view.Epoch(), Leafs: []string{"leaf"}})
+		{"leaf draining", func(_ *testing.T, h *harness) { h.setLeaf(true) }, fellow.ReasonTakenOut},
+		{"leaf removed from the list", func(_ *testing.T, h *harness) { h.owner.OnLeafList(nil) }, fellow.ReasonNotOwner},
+		{"leaf released", func(_ *testing.T, h *harness) {
+			h.owner.Release(fellow.ReleaseQuery{From: requester, Epoch: h.view.Epoch(), Leafs: []string{"leaf"}})
 		}, fellow.ReasonNotOwner},
-		{"by an instance that is no member", func(t *testing.T, b *bench) {
-			b.apply(t, tabulator.Remove{Instance: "e1", Incarnation: 1, Reason: tabulator.RemovedExpired})
+		{"instance not a member", func(t *testing.T, h *harness) {
+			h.apply(t, tabulator.Remove{Instance: "e1", Incarnation: 1, Reason: tabulator.RemovedExpired})
 		}, fellow.ReasonNotOwner},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
-				defer b.close()
-				time.Sleep(2 * assigner.FenceWait())
-				test.set(t, b)
-				b.ask(1, time.Second)
+				h := newHarness(t)
+				defer h.close()
+				time.Sleep(2 * assigner.FenceTimeout())
+				test.setUp(t, h)
+				h.sendRequest(1, time.Second)
 				time.Sleep(time.Second)
-				if b.get(&b.received) != 0 || b.outcomes()[test.reason] != 1 {
-					t.Errorf("%d received, replies %v, want one %s", b.get(&b.received), b.outcomes(), test.reason)
+				if h.read(&h.receivedCount) != 0 || h.replyCounts()[test.reason] != 1 {
+					t.Errorf("got %d requests at the leaf and replies %v, want none and one %s", h.read(&h.receivedCount), h.replyCounts(), test.reason)
 				}
 			})
 		})
 	}
 }
 
-func TestQueuedRequestsMeetTheLeaseWhenTheyAreSent(t *testing.T) {
+func TestQueuedRequestIsRefusedWhenLeaseEndsBeforeSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		defer b.close()
-		b.setWork(200 * time.Millisecond)
-		time.Sleep(2 * assigner.FenceWait())
-		b.ask(1, 5*time.Second)
-		b.ask(2, 5*time.Second)
+		h := newHarness(t)
+		defer h.close()
+		h.setServiceTime(200 * time.Millisecond)
+		time.Sleep(2 * assigner.FenceTimeout())
+		h.sendRequest(1, 5*time.Second)
+		h.sendRequest(2, 5*time.Second)
 		time.Sleep(50 * time.Millisecond)
-		b.setLease(false)
+		h.setLease(false)
 		time.Sleep(10 * time.Second)
-		if got := b.outcomes(); b.get(&b.received) != 1 || got["hit"] != 1 || got[fellow.ReasonNoLease] != 1 {
-			t.Errorf("%d received, replies %v", b.get(&b.received), got)
+		if counts := h.replyCounts(); h.read(&h.receivedCount) != 1 || counts["hit"] != 1 || counts[fellow.ReasonNoLease] != 1 {
+			t.Errorf("got %d requests at the leaf and replies %v, want one, one hit and one %s", h.read(&h.receivedCount), counts, fellow.ReasonNoLease)
 		}
 	})
 }
 
-func TestCancel(t *testing.T) {
+func TestCancelQueuedAndRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		defer b.close()
-		b.setWork(100 * time.Millisecond)
-		time.Sleep(2 * assigner.FenceWait())
-		b.ask(1, 5*time.Second)
-		b.ask(2, 5*time.Second)
+		h := newHarness(t)
+		defer h.close()
+		h.setServiceTime(100 * time.Millisecond)
+		time.Sleep(2 * assigner.FenceTimeout())
+		h.sendRequest(1, 5*time.Second)
+		h.sendRequest(2, 5*time.Second)
 		time.Sleep(10 * time.Millisecond)
-		b.owner.OnCancels(asker, []uint64{1, 2, 3})
+		h.owner.OnCancels(requester, []uint64{1, 2, 3})
 		time.Sleep(time.Second)
-		if b.get(&b.received) != 1 || b.get(&b.cancels) != 1 || len(b.outcomes()) != 0 || b.owner.Busy() != 0 {
-			t.Errorf("%d received, %d cancelled at the leaf, replies %v, %d busy", b.get(&b.received), b.get(&b.cancels), b.outcomes(), b.owner.Busy())
+		if h.read(&h.receivedCount) != 1 || h.read(&h.cancelCount) != 1 || len(h.replyCounts()) != 0 || h.owner.PendingCount() != 0 {
+			t.Errorf("got %d requests and %d cancellations at the leaf, replies %v and %d pending requests, want 1, 1, none and 0",
+				h.read(&h.receivedCount), h.read(&h.cancelCount), h.replyCounts(), h.owner.PendingCount())
 		}
 	})
 }
 
-func TestReleaseHandsOverTheCounts(t *testing.T) {
+func TestReleaseReportsRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		defer b.close()
-		b.setWork(100 * time.Millisecond)
-		time.Sleep(2 * assigner.FenceWait())
-		b.ask(1, 2*time.Second)
+		h := newHarness(t)
+		defer h.close()
+		h.setServiceTime(100 * time.Millisecond)
+		time.Sleep(2 * assigner.FenceTimeout())
+		h.sendRequest(1, 2*time.Second)
 		time.Sleep(10 * time.Millisecond)
-		query := fellow.ReleaseQuery{From: asker, Epoch: b.view.Epoch() + 1, Leafs: []string{"leaf"}}
-		released := b.owner.Release(query)[0]
+		query := fellow.ReleaseQuery{From: requester, Epoch: h.view.Epoch() + 1, Leafs: []string{"leaf"}}
+		released := h.owner.Release(query)[0]
 		if !released.Open || released.Running != 1 || released.RunningUntil < 1900*time.Millisecond {
-			t.Errorf("released %+v", released)
+			t.Errorf("first release: got %+v, want an open leaf with 1 request running for at least 1.9s", released)
 		}
-		if again := b.owner.Release(query)[0]; again.Open {
-			t.Error("released twice")
+		if second := h.owner.Release(query)[0]; second.Open {
+			t.Errorf("second release: got %+v, want a leaf that is not open", second)
 		}
 		time.Sleep(time.Second)
-		if b.outcomes()["hit"] != 1 {
-			t.Errorf("what was running got replies %v", b.outcomes())
+		if h.replyCounts()["hit"] != 1 {
+			t.Errorf("running request: got replies %v, want one hit", h.replyCounts())
 		}
 	})
 }
--- a/pkg/owner/ownership.go
+++ b/pkg/owner/ownership.go
@@ -1,5 +1,6 @@
-// Ownership follows the table and the membership: leafs are taken over from
-// their former owner, and handed over to the next one.
+// The ownership of leafs follows the table and the membership. A leaf that is
+// newly assigned to this instance is taken over from its previous owner, and a
+// leaf that is assigned to another instance is released to it.
 
 package owner
 
@@ -14,20 +15,20 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-// reconcile starts and ends ownerships so that they follow the assignment; o.mu is held.
+// reconcile starts and ends ownerships to match the assignment and the list of leafs; o.mu must be held.
 func (o *Owner) reconcile() {
-	for id, owned := range o.leafs {
-		record, known := o.roster[id]
-		if known && o.owns(record) {
-			owned.update(record, o.row(record))
+	for id, owned := range o.ownedLeafs {
+		record, isListed := o.records[id]
+		if isListed && o.owns(record) {
+			owned.update(record, o.tableRow(record))
 			continue
 		}
-		delete(o.leafs, id)
-		o.ceded[id] = cededLeaf{released: owned.endOwnership(), at: o.config.Now()}
-		o.group.Go(func() { owned.retire(fellow.ReasonNotOwner) })
+		delete(o.ownedLeafs, id)
+		o.unclaimedReleases[id] = unclaimedRelease{released: owned.prepareRelease(), endedAt: o.config.Now()}
+		o.group.Go(func() { owned.endOwnership(fellow.ReasonNotOwner) })
 	}
-	for id, record := range o.roster {
-		if o.leafs[id] != nil || !o.owns(record) || o.assignment.Epoch() <= o.releasedAt[id] {
+	for id, record := range o.records {
+		if o.ownedLeafs[id] != nil || !o.owns(record) || o.assignment.Epoch() <= o.releasedInEpoch[id] {
 			continue
 		}
 		if row, ok := o.view.Row(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre}); ok {
@@ -37,68 +38,70 @@
 }
 
 func (o *Owner) owns(record coordinator.LeafRecord) bool {
-	if o.config.SplitOver > 0 {
+	if o.config.SplitInstances > 0 {
 		return true
 	}
 	member, ok := o.assignment.Owner(assigner.NewLeaf(record.ID, record.DataCentre))
 	return ok && member.ID() == o.config.Self
 }
 
-func (o *Owner) row(record coordinator.LeafRecord) tabulator.Row {
+// tableRow returns the table row for the service and data centre of the leaf, or a zero row if there is none.
+func (o *Owner) tableRow(record coordinator.LeafRecord) tabulator.Row {
 	row, _ := o.view.AcceptsRequests(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
 	return row
 }
 
 func (o *Owner) acquire(record coordinator.LeafRecord, row tabulator.Row) {
 	owned := newOwnedLeaf(o, record, row)
-	delete(o.ceded, record.ID)
-	o.leafs[record.ID] = owned
-	if o.config.SplitOver > 0 {
+	delete(o.unclaimedReleases, record.ID)
+	o.ownedLeafs[record.ID] = owned
+	if o.config.SplitInstances > 0 {
 		owned.open()
 		return
 	}
-	former, ok := o.assignment.Former(assigner.NewLeaf(record.ID, record.DataCentre), o.config.Self)
+	previousOwner, ok := o.assignment.PreviousOwner(assigner.NewLeaf(record.ID, record.DataCentre), o.config.Self)
 	epoch := o.assignment.Epoch()
-	o.group.Go(func() { owned.seekRelease(former, ok, epoch) })
+	o.group.Go(func() { owned.requestRelease(previousOwner, ok, epoch) })
 }
 
 func (o *Owner) release(id assigner.LeafID, query fellow.ReleaseQuery) fellow.Released {
 	o.mu.Lock()
-	owned := o.leafs[id]
-	ceded, wasCeded := o.ceded[id]
-	delete(o.leafs, id)
-	delete(o.ceded, id)
-	o.releasedAt[id] = max(o.releasedAt[id], query.Epoch)
+	owned := o.ownedLeafs[id]
+	unclaimed, isUnclaimed := o.unclaimedReleases[id]
+	delete(o.ownedLeafs, id)
+	delete(o.unclaimedReleases, id)
+	o.releasedInEpoch[id] = max(o.releasedInEpoch[id], query.Epoch)
 	o.mu.Unlock()
 	switch {
 	case owned != nil:
-		released := owned.endOwnership()
-		owned.retire(fellow.ReasonNotOwner)
-		o.config.Note("leaf-released", string(id), "handed over to "+query.From.String())
+		released := owned.prepareRelease()
+		owned.endOwnership(fellow.ReasonNotOwner)
+		o.config.RecordEvent("leaf-released", string(id), "handed over to "+query.From.String())
 		return released
-	case wasCeded:
-		o.config.Note("leaf-released", string(id), "handed over to "+query.From.String())
-		return ceded.remaining(o.config.Now())
+	case isUnclaimed:
+		o.config.RecordEvent("leaf-released", string(id), "handed over to "+query.From.String())
+		return unclaimed.releaseAt(o.config.Now())
 	}
 	return fellow.Released{Leaf: string(id)}
 }
 
-// remaining returns what is handed over once some time has passed since the ownership ended.
-func (c cededLeaf) remaining(now time.Duration) fellow.Released {
-	released := c.released
-	released.RunningUntil = max(0, released.RunningUntil-(now-c.at))
+// releaseAt returns the release with its remaining run time reduced by the time that has passed since the ownership ended.
+func (u unclaimedRelease) releaseAt(now time.Duration) fellow.Released {
+	released := u.released
+	released.RunningUntil = max(0, released.RunningUntil-(now-u.endedAt))
 	return released
 }
 
-func (o *Owner) takesWork(record coordinator.LeafRecord) error {
+// checkSendAllowed returns an error whose text is the refusal reason if no request may be sent to the leaf at present.
+func (o *Owner) checkSendAllowed(record coordinator.LeafRecord) error {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	if !o.config.LeaseHeld(o.config.Now()) {
 		return errors.New(fellow.ReasonNoLease)
 	}
-	_, takes := o.view.AcceptsRequests(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
-	current, listed := o.roster[record.ID]
-	if !takes || !listed || current.IsDraining {
+	_, isAllowed := o.view.AcceptsRequests(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
+	current, isListed := o.records[record.ID]
+	if !isAllowed || !isListed || current.IsDraining {
 		return errors.New(fellow.ReasonTakenOut)
 	}
 	return nil
--- a/pkg/runner/handler.go
+++ b/pkg/runner/handler.go
@@ -14,7 +14,7 @@
 
 // OnAsks takes requests for leafs of this instance.
 func (i *Instance) OnAsks(from tabulator.MemberID, address string, asks []fellow.Ask) {
-	i.owner.OnAsks(from, address, asks)
+	i.owner.OnRequests(from, address, asks)
 }
 
 // OnCancels takes cancellations.
@@ -45,8 +45,8 @@
 	view := i.View()
 	status := operator.Status{
 		Instance: i.self.Instance, Incarnation: strconv.FormatUint(i.self.Incarnation, 16), DataCentre: i.settings.DataCentre,
-		Ready: i.Ready(), Revision: view.Revision(), Epoch: view.Epoch(), Leafs: i.owner.Held(),
-		Queries: i.dispatcher.Open(), DataCentres: view.DataCentres(), Conditions: map[string]fellow.Condition{},
+		Ready: i.Ready(), Revision: view.Revision(), Epoch: view.Epoch(), Leafs: i.owner.LeafCount(),
+		Queries: i.dispatcher.OpenQueries(), DataCentres: view.DataCentres(), Conditions: map[string]fellow.Condition{},
 	}
 	for _, member := range view.Members() {
 		status.Members = append(status.Members, member.Fields())
--- a/pkg/runner/instance.go
+++ b/pkg/runner/instance.go
@@ -143,18 +143,18 @@
 	case i.draining.Load():
 		return dispatcher.ReasonShuttingDown
 	case !i.client.LeaseHeld(i.now()):
-		return dispatcher.ReasonNotReady
-	case i.transport.CutOff():
+		return dispatcher.ReasonNoLease
+	case i.transport.IsCutOff():
 		return dispatcher.ReasonCutOff
 	}
 	return ""
 }
 
 // Owned returns how many leafs the instance owns.
-func (i *Instance) Owned() int { return i.owner.Held() }
+func (i *Instance) Owned() int { return i.owner.LeafCount() }
 
 // Opened returns how many leafs the instance may send to.
-func (i *Instance) Opened() int { return i.owner.Opened() }
+func (i *Instance) Opened() int { return i.owner.OpenLeafCount() }
 
 // View returns the table and membership in force at this instance.
 func (i *Instance) View() *tabulator.View { return i.client.View() }
@@ -171,9 +171,9 @@
 	i.draining.Store(true)
 	i.dispatcher.Drain()
 	_, _ = i.client.Propose(tabulator.Drain{Instance: i.self.Instance, Incarnation: i.self.Incarnation})
-	i.waitUntil(drainTimeout, func() bool { return i.dispatcher.Open() == 0 })
-	i.waitUntil(releaseGrace, func() bool { return i.owner.Held() == 0 })
-	i.waitUntil(drainTimeout, func() bool { return i.owner.Busy() == 0 })
+	i.waitUntil(drainTimeout, func() bool { return i.dispatcher.OpenQueries() == 0 })
+	i.waitUntil(releaseGrace, func() bool { return i.owner.LeafCount() == 0 })
+	i.waitUntil(drainTimeout, func() bool { return i.owner.PendingCount() == 0 })
 	i.client.Leave()
 	i.Close()
 }
@@ -228,8 +228,8 @@
 
 func (i *Instance) onRoster(records []coordinator.LeafRecord) {
 	i.platformBad.Store(false)
-	i.dispatcher.OnRoster(records)
-	i.owner.OnRoster(records)
+	i.dispatcher.OnLeafList(records)
+	i.owner.OnLeafList(records)
 }
 
 func (i *Instance) onPlatformFault(err error) {
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -70,16 +70,16 @@
 		Timeline: i.timeline, OnView: i.onView,
 	})
 	i.dispatcher = dispatcher.New(dispatcher.Config{
-		Self: i.self, Now: i.now, Wall: time.Now, LeaseHeld: i.client.LeaseHeld, Transport: i.transport,
-		Random: i.random(2), Policy: i.options.policy, NoHedges: i.options.noHedges, NoGate: i.options.noGate,
-		LocalOnly: i.options.splitOver > 0,
+		Self: i.self, Now: i.now, WallClock: time.Now, LeaseHeld: i.client.LeaseHeld, Transport: i.transport,
+		Random: i.random(2), Policy: i.options.policy, NoHedges: i.options.noHedges, IgnoresOverload: i.options.noGate,
+		UsesLocalOwner: i.options.splitOver > 0,
 	}, i.traces, i.metrics)
 	i.owner = owner.New(owner.Config{
 		Self: i.self, DataCentre: i.settings.DataCentre, Now: i.now, LeaseHeld: i.client.LeaseHeld,
-		ReplyTo: i.transport.Reply, AskRelease: i.transport.AskRelease, Note: i.timeline.Add, Dial: i.options.leafDial,
-		Growth: i.options.growth, SplitOver: i.options.splitOver,
+		SendReply: i.transport.Reply, RequestRelease: i.transport.AskRelease, RecordEvent: i.timeline.Add, Dial: i.options.leafDial,
+		Growth: i.options.growth, SplitInstances: i.options.splitOver,
 	}, i.metrics)
-	i.transport.lost = i.dispatcher.OnLost
+	i.transport.lost = i.dispatcher.OnUndelivered
 	i.mailbox = newMailbox(i.self, i)
 	i.transport.local = i.mailbox
 	i.platform = lister.New(i.settings.Platform, i.onRoster, i.onPlatformFault)
--- a/pkg/runner/transport.go
+++ b/pkg/runner/transport.go
@@ -64,16 +64,16 @@
 	t.link(to, address).Reply(reply)
 }
 
-// Silent tells whether an instance has not taken what was last sent to it.
-func (t *transport) Silent(owner tabulator.MemberID) bool {
+// IsUnresponsive tells whether an instance has not taken what was last sent to it.
+func (t *transport) IsUnresponsive(owner tabulator.MemberID) bool {
 	t.mu.Lock()
 	link := t.links[owner]
 	t.mu.Unlock()
 	return link != nil && link.Silent()
 }
 
-// CutOff tells whether most of the fellows that this instance talks to are silent.
-func (t *transport) CutOff() bool {
+// IsCutOff tells whether most of the fellows that this instance talks to are silent.
+func (t *transport) IsCutOff() bool {
 	t.mu.Lock()
 	links := make([]*fellow.Link, 0, len(t.links))
 	for _, link := range t.links {
--- a/pkg/ticketer/doc.go
+++ b/pkg/ticketer/doc.go
@@ -1,2 +1,3 @@
-// Package ticketer remembers the outcomes of requests that were sent under a ticket, so that a resend runs nothing twice.
+// Package ticketer grants tickets, which are idempotency keys, and stores the outcome of the request sent with each ticket
+// so that the same request is not run twice when a caller resends it.
 package ticketer
--- a/pkg/ticketer/ticketer.go
+++ b/pkg/ticketer/ticketer.go
@@ -1,6 +1,8 @@
-// A ticket names the incarnation that granted it: "entry-3.5f3a.12.61000".
-// Only that incarnation runs the request and remembers its outcome until the
-// ticket expires. When the incarnation is gone nobody runs it again.
+// A ticket has the form "entry-3.5f3a.12.61000": the instance and incarnation
+// that granted it, a sequence number, and the expiry in milliseconds on the clock
+// of that incarnation. Only that incarnation runs the request and stores its
+// outcome, until the ticket expires. If the incarnation has ended, no other
+// instance runs the request.
 
 package ticketer
 
@@ -16,101 +18,104 @@
 )
 
 const (
-	// Lifetime is how long a ticket can be used.
-	Lifetime   = 10 * time.Minute
-	maxTickets = 100_000
-	parts      = 4
+	// Lifetime is the time from the grant of a ticket to its expiry.
+	Lifetime        = 10 * time.Minute
+	maxTickets      = 100_000
+	ticketPartCount = 4
 )
 
 const (
-	// PhaseFirst means that the request is to be run now.
-	PhaseFirst Phase = iota
-	// PhaseRunning means that an earlier send of it is running.
+	// PhaseNew means that the request has not been started and that the caller of Begin must run it.
+	PhaseNew Phase = iota
+	// PhaseRunning means that the request was started by an earlier call and has not finished.
 	PhaseRunning
-	// PhaseDone means that its outcome is known.
+	// PhaseDone means that the request has finished and its outcome is stored.
 	PhaseDone
-	// PhaseExpired means that the ticket can no longer be used.
+	// PhaseExpired means that the ticket is invalid, unknown or expired.
 	PhaseExpired
 )
 
 type (
-	// Phase is where the request of a ticket stands.
+	// Phase is the progress of the request of a ticket.
 	Phase int
 
-	// Ticketer grants tickets and remembers outcomes; it belongs to one goroutine.
+	// Ticketer grants tickets and stores outcomes; it is not safe for concurrent use.
 	Ticketer struct {
 		self     tabulator.MemberID
 		sequence uint64
 		records  map[uint64]*record
-		order    []uint64
+		// grantOrder lists the sequence numbers of the records, oldest first.
+		grantOrder []uint64
 	}
 
 	record struct {
-		expires time.Duration
-		begun   bool
-		done    bool
-		outcome []byte
+		expiresAt time.Duration
+		isStarted bool
+		isDone    bool
+		outcome   []byte
 	}
 )
 
-// New returns a ticketer of one incarnation.
+// New returns a ticketer that grants tickets in the name of the incarnation self.
 func New(self tabulator.MemberID) *Ticketer {
 	return &Ticketer{self: self, records: map[uint64]*record{}}
 }
 
-// Grant returns a new ticket, or an error when too many are outstanding.
+// Grant returns a new ticket that expires after Lifetime, or an error if too many tickets are unexpired.
 func (t *Ticketer) Grant(now time.Duration) (string, error) {
-	t.drop(now)
+	t.removeExpired(now)
 	if len(t.records) >= maxTickets {
-		return "", errors.Errorf("grant ticket: %d tickets are outstanding", len(t.records))
+		return "", errors.Errorf("grant ticket: limit reached with %d unexpired tickets", len(t.records))
 	}
 	t.sequence++
-	expires := now + Lifetime
-	t.records[t.sequence] = &record{expires: expires}
-	t.order = append(t.order, t.sequence)
-	return fmt.Sprintf("%s.%x.%d.%d", t.self.Instance, t.self.Incarnation, t.sequence, expires.Milliseconds()), nil
+	expiresAt := now + Lifetime
+	t.records[t.sequence] = &record{expiresAt: expiresAt}
+	t.grantOrder = append(t.grantOrder, t.sequence)
+	return fmt.Sprintf("%s.%x.%d.%d", t.self.Instance, t.self.Incarnation, t.sequence, expiresAt.Milliseconds()), nil
 }
 
-// Begin returns where the request of a ticket stands, and its outcome when that is known.
+// Begin returns the phase of the request of a ticket, and its outcome if the phase is PhaseDone. The first call for a ticket
+// returns PhaseNew and marks the request as started. Begin returns an error if the ticket is malformed or was granted by
+// another incarnation.
 func (t *Ticketer) Begin(ticket string, now time.Duration) (Phase, []byte, error) {
-	owner, sequence, err := Parse(ticket)
+	grantor, sequence, err := Parse(ticket)
 	if err != nil {
 		return PhaseExpired, nil, err
 	}
-	if owner != t.self {
-		return PhaseExpired, nil, errors.Errorf("begin: ticket of %s, this is %s", owner, t.self)
+	if grantor != t.self {
+		return PhaseExpired, nil, errors.Errorf("begin ticket: granted by %s, but this instance is %s", grantor, t.self)
 	}
 	r := t.records[sequence]
-	if r == nil || now >= r.expires {
+	if r == nil || now >= r.expiresAt {
 		return PhaseExpired, nil, nil
 	}
 	switch {
-	case r.done:
+	case r.isDone:
 		return PhaseDone, r.outcome, nil
-	case r.begun:
+	case r.isStarted:
 		return PhaseRunning, nil, nil
 	}
-	r.begun = true
-	return PhaseFirst, nil, nil
+	r.isStarted = true
+	return PhaseNew, nil, nil
 }
 
-// Finish remembers the outcome of the request of a ticket.
+// Finish stores the outcome of the request of a ticket; it ignores malformed and unknown tickets.
 func (t *Ticketer) Finish(ticket string, outcome []byte) {
 	_, sequence, err := Parse(ticket)
 	if err != nil {
 		return
 	}
 	if r := t.records[sequence]; r != nil {
-		r.done = true
+		r.isDone = true
 		r.outcome = append([]byte(nil), outcome...)
 	}
 }
 
-// Parse returns which incarnation granted a ticket and its sequence number.
+// Parse returns the incarnation that granted a ticket and the sequence number of the ticket, or an error if it is malformed.
 func Parse(ticket string) (tabulator.MemberID, uint64, error) {
 	fields := strings.Split(ticket, ".")
-	if len(fields) != parts {
-		return tabulator.MemberID{}, 0, errors.Errorf("parse ticket %q: it has %d parts, expected %d", ticket, len(fields), parts)
+	if len(fields) != ticketPartCount {
+		return tabulator.MemberID{}, 0, errors.Errorf("parse ticket %q: got %d parts, want %d", ticket, len(fields), ticketPartCount)
 	}
 	incarnation, err := strconv.ParseUint(fields[1], 16, 64)
 	if err != nil {
@@ -123,13 +128,13 @@
 	return tabulator.MemberID{Instance: fields[0], Incarnation: incarnation}, sequence, nil
 }
 
-func (t *Ticketer) drop(now time.Duration) {
-	for len(t.order) > 0 {
-		r := t.records[t.order[0]]
-		if now < r.expires {
+func (t *Ticketer) removeExpired(now time.Duration) {
+	for len(t.grantOrder) > 0 {
+		r := t.records[t.grantOrder[0]]
+		if now < r.expiresAt {
 			return
 		}
-		delete(t.records, t.order[0])
-		t.order = t.order[1:]
+		delete(t.records, t.grantOrder[0])
+		t.grantOrder = t.grantOrder[1:]
 	}
 }
--- a/pkg/ticketer/ticketer_test.go
+++ b/pkg/ticketer/ticketer_test.go
@@ -6,7 +6,7 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-func TestOneRunPerTicket(t *testing.T) {
+func TestRequestRunsOncePerTicket(t *testing.T) {
 	self := tabulator.MemberID{Instance: "entry-1", Incarnation: 0x5f3a}
 	ticketer := New(self)
 	ticket, err := ticketer.Grant(0)
@@ -17,42 +17,47 @@
 		name   string
 		finish bool
 		want   Phase
-	}{{"first send", false, PhaseFirst}, {"resend while it runs", true, PhaseRunning}, {"resend after its end", false, PhaseDone}, {"again", false, PhaseDone}}
+	}{
+		{"first request", false, PhaseNew},
+		{"resend while running", true, PhaseRunning},
+		{"first resend after the end", false, PhaseDone},
+		{"second resend after the end", false, PhaseDone},
+	}
 	for _, step := range steps {
 		phase, outcome, err := ticketer.Begin(ticket, 1)
 		if err != nil || phase != step.want {
-			t.Fatalf("%s: phase %d, %v; want %d", step.name, phase, err, step.want)
+			t.Fatalf("%s: got phase %d and error %v, want phase %d and no error", step.name, phase, err, step.want)
 		}
 		if phase == PhaseDone && string(outcome) != "outcome" {
-			t.Fatalf("%s: outcome %q", step.name, outcome)
+			t.Fatalf("%s: got outcome %q, want %q", step.name, outcome, "outcome")
 		}
 		if step.finish {
 			ticketer.Finish(ticket, []byte("outcome"))
 		}
 	}
 	if phase, _, _ := ticketer.Begin(ticket, Lifetime); phase != PhaseExpired {
-		t.Fatalf("phase %d after the lifetime", phase)
+		t.Fatalf("at the end of the lifetime: got phase %d, want %d", phase, PhaseExpired)
 	}
 }
 
-func TestBadTickets(t *testing.T) {
+func TestBeginRejectsInvalidTickets(t *testing.T) {
 	ticketer := New(tabulator.MemberID{Instance: "entry-1", Incarnation: 7})
 	tests := []struct {
-		name   string
-		ticket string
-		err    bool
+		name     string
+		ticket   string
+		wantsErr bool
 	}{
 		{"empty", "", true},
 		{"no incarnation", "entry-1.x.1.1", true},
 		{"no sequence", "entry-1.7.x.1", true},
-		{"of another incarnation", "entry-1.8.1.1", true},
-		{"of another instance", "entry-2.7.1.1", true},
+		{"granted by another incarnation", "entry-1.8.1.1", true},
+		{"granted by another instance", "entry-2.7.1.1", true},
 		{"never granted", "entry-1.7.99.1", false},
 	}
 	for _, test := range tests {
 		phase, _, err := ticketer.Begin(test.ticket, 0)
-		if (err != nil) != test.err || phase != PhaseExpired {
-			t.Errorf("%s: phase %d, %v", test.name, phase, err)
+		if (err != nil) != test.wantsErr || phase != PhaseExpired {
+			t.Errorf("%s: got phase %d and error %v, want phase %d and an error: %t", test.name, phase, err, PhaseExpired, test.wantsErr)
 		}
 	}
 }
