--- a/pkg/aggregator/peers.go
+++ b/pkg/aggregator/peers.go
@@ -1,6 +1,6 @@
-// Peers holds a connection to each instance that gathers shards for this one,
-// and what is known of them. Connections are opened beside the queries; one
-// that is silent is asked again and again whether it is back.
+// Peers keeps a connection and the health of each instance that can gather
+// slices for this one. A background loop opens the connections, so that no
+// query waits for one, and probes unavailable peers until they recover.
 
 package aggregator
 
@@ -17,12 +17,12 @@
 )
 
 const (
-	// look is how often peers without a connection and silent ones are looked at.
-	look = 100 * time.Millisecond
-	// pingTimeout bounds the question whether a peer is back: the way between regions and a hiccup of its processor.
+	// checkInterval is how often peers that are unavailable or have no connection are checked.
+	checkInterval = 100 * time.Millisecond
+	// pingTimeout bounds a probe. It covers a round trip between regions and a short stall of the processor at the peer.
 	pingTimeout = 300 * time.Millisecond
-	// opensAtOnce bounds the connections that are opened at one time.
-	opensAtOnce = 4
+	// maxConcurrentChecks bounds the checks, each of which may open a connection, that run at once.
+	maxConcurrentChecks = 4
 
 	callGather = "Aggregator.Gather"
 	callMore   = "Aggregator.More"
@@ -31,28 +31,28 @@
 )
 
 type (
-	// Peers are the instances that gather for this one.
+	// Peers are the instances that can gather slices for this one.
 	Peers struct {
 		linker *linker.Linker
 		now    func() time.Duration
 		log    logr.Logger
-		// onSilent is told of each instance that was found silent; nil tells nobody.
-		onSilent func(instance string)
-		mu       sync.Mutex
-		peers    map[string]*peer
-		stop     chan struct{}
-		group    conc.WaitGroup
-		opens    chan struct{}
+		// onFailure, unless nil, is called with each instance that a query found to be unavailable.
+		onFailure  func(instance string)
+		mu         sync.Mutex
+		peers      map[string]*peer
+		stop       chan struct{}
+		group      conc.WaitGroup
+		checkSlots chan struct{}
 	}
 
 	peer struct {
-		line  *linker.Peer
+		conn  *linker.Peer
 		state slicer.Peer
-		// busy tells that the peer is being asked, or its connection opened.
-		busy bool
+		// isChecking is set while a check of the peer is queued or running.
+		isChecking bool
 	}
 
-	// Call is a slice at another instance.
+	// Call is a slice that another instance gathers.
 	Call struct {
 		peers    *Peers
 		instance string
@@ -61,91 +61,92 @@
 	}
 )
 
-// NewPeers returns an empty set of peers; Run keeps their connections, and Close ends them.
+// NewPeers returns an empty set of peers. The function now returns the time since a fixed start.
 func NewPeers(l *linker.Linker, now func() time.Duration, log logr.Logger) *Peers {
 	return &Peers{
-		linker: l, now: now, log: log, peers: map[string]*peer{}, stop: make(chan struct{}), opens: make(chan struct{}, opensAtOnce),
+		linker: l, now: now, log: log, peers: map[string]*peer{}, stop: make(chan struct{}), checkSlots: make(chan struct{}, maxConcurrentChecks),
 	}
 }
 
-// OnSilent sets who is told of each instance that was found silent by a query; it is set before Run.
-func (p *Peers) OnSilent(tell func(instance string)) { p.onSilent = tell }
+// SetFailureHandler sets a function that is called with each instance that a query found to be unavailable. It must be called before
+// Run.
+func (p *Peers) SetFailureHandler(notify func(instance string)) { p.onFailure = notify }
 
-// Doubt takes another instance's word that a peer is silent: it gets no slices until it answers that it takes them.
-func (p *Peers) Doubt(instance string) {
+// Suspect marks a peer as unavailable on the report of another instance. The peer gets no slices until a probe succeeds.
+func (p *Peers) Suspect(instance string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.peers[instance]; known != nil && known.state.IsAvailable() {
-		known.state.Suspect(p.now())
+	if target := p.peers[instance]; target != nil && target.state.IsAvailable() {
+		target.state.Suspect(p.now())
 		p.log.Info("aggregator: instance left out", "peer", instance, "cause", "another instance found it silent")
 	}
 }
 
-// mostSilent tells whether more than half of the peers are silent, which points to this instance.
-func (p *Peers) mostSilent() bool {
-	silent := 0
-	for _, known := range p.peers {
-		if !known.state.IsAvailable() {
-			silent++
+// mostUnavailable reports whether more than half of the peers are unavailable, which suggests a fault of this instance.
+func (p *Peers) mostUnavailable() bool {
+	unavailable := 0
+	for _, target := range p.peers {
+		if !target.state.IsAvailable() {
+			unavailable++
 		}
 	}
-	return 2*silent > len(p.peers)
+	return 2*unavailable > len(p.peers)
 }
 
-// Run opens connections until Close.
-func (p *Peers) Run() { p.group.Go(p.loop) }
+// Run starts to check the peers in the background, until Close.
+func (p *Peers) Run() { p.group.Go(p.run) }
 
-// Close closes the connections.
+// Close stops the checks and closes the connections.
 func (p *Peers) Close() {
 	close(p.stop)
 	p.group.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, known := range p.peers {
-		known.line.Close()
+	for _, target := range p.peers {
+		target.conn.Close()
 	}
 }
 
-// Set takes the addresses of the instances that gather for this one, by name.
-func (p *Peers) Set(addresses map[string]string) {
+// SetPeers replaces the set of peers with the given addresses, keyed by instance name.
+func (p *Peers) SetPeers(addresses map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, known := range p.peers {
-		if addresses[name] != known.line.Address() {
-			known.line.Close()
+	for name, target := range p.peers {
+		if addresses[name] != target.conn.Address() {
+			target.conn.Close()
 			delete(p.peers, name)
 		}
 	}
 	for name, address := range addresses {
 		if p.peers[name] == nil {
-			p.peers[name] = &peer{line: p.linker.NewPeer(address)}
+			p.peers[name] = &peer{conn: p.linker.NewPeer(address)}
 		}
 	}
 }
 
-// Usable tells whether a slice can be handed to the instance at once.
-func (p *Peers) Usable(instance string) bool {
+// IsAvailable reports whether a slice can be handed to the instance at once.
+func (p *Peers) IsAvailable(instance string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.peers[instance]
-	return known != nil && known.state.IsAvailable() && known.line.CurrentClient() != nil
+	target := p.peers[instance]
+	return target != nil && target.state.IsAvailable() && target.conn.CurrentClient() != nil
 }
 
-// Gather hands a slice to the instance. The first report, or an error, goes to done from another goroutine. It returns nil
-// where the instance cannot be reached at once; nothing was sent then.
+// Gather hands a slice to the instance and calls done with its first report, or an error, from another goroutine. If the
+// instance is unavailable or has no open connection, Gather returns nil and sends nothing.
 func (p *Peers) Gather(instance string, query SliceQuery, done func(Report, error)) *Call {
 	p.mu.Lock()
-	known := p.peers[instance]
+	target := p.peers[instance]
 	var client *rpc.Client
-	if known != nil && known.state.IsAvailable() {
-		client = known.line.CurrentClient()
+	if target != nil && target.state.IsAvailable() {
+		client = target.conn.CurrentClient()
 	}
 	p.mu.Unlock()
 	if client == nil {
 		return nil
 	}
-	c := &Call{peers: p, instance: instance, client: client, id: query.Name()}
-	// A peer that does not read blocks the writer.
+	c := &Call{peers: p, instance: instance, client: client, id: query.SliceID()}
+	// The call blocks while the peer does not read from the connection.
 	go c.await(callGather, query, done)
 	return c
 }
@@ -153,140 +154,144 @@
 // Instance returns the name of the instance that gathers the slice.
 func (c *Call) Instance() string { return c.instance }
 
-// More asks for the next report, which goes to done.
-func (c *Call) More(done func(Report, error)) { go c.await(callMore, c.id, done) }
+// NextReport requests the next report and calls done with it, or an error, from another goroutine.
+func (c *Call) NextReport(done func(Report, error)) { go c.await(callMore, c.id, done) }
 
-// Drop ends the slice; cut ends the work at the leafs as well.
-func (c *Call) Drop(cut bool) {
+// Cancel ends the slice. If cancelAttempts is set, the attempts at the leafs are cancelled as well.
+func (c *Call) Cancel(cancelAttempts bool) {
 	go func() {
-		// A slice that cannot be dropped ends by its own time limit.
-		_ = c.client.Call(callDrop, DropQuery{SliceID: c.id, Cut: cut}, &struct{}{})
+		// On error the slice still ends at its deadline.
+		_ = c.client.Call(callDrop, DropQuery{SliceID: c.id, Cut: cancelAttempts}, &struct{}{})
 	}()
 }
 
-// Silent notes that the instance did not report in time: its connection is closed, so that other queries turn elsewhere too.
-func (c *Call) Silent() { c.peers.lost(c.instance, c.client, "no report in time") }
+// MarkUnavailable marks the instance as unavailable because a report is overdue, and closes its connection, so that other queries
+// stop using it too.
+func (c *Call) MarkUnavailable() {
+	c.peers.onConnectionFailure(c.instance, c.client, "no report in time")
+}
 
 func (c *Call) await(method string, query any, done func(Report, error)) {
 	var report Report
 	if err := c.client.Call(method, query, &report); err != nil {
-		c.peers.lost(c.instance, c.client, err.Error())
+		c.peers.onConnectionFailure(c.instance, c.client, err.Error())
 		done(Report{}, err)
 		return
 	}
 	if report.Leaving || report.NotRun != "" {
-		c.peers.leave(c.instance)
+		c.peers.onDeclined(c.instance)
 	} else {
-		c.peers.reported(c.instance)
+		c.peers.onReport(c.instance)
 	}
 	done(report, nil)
 }
 
-func (p *Peers) reported(instance string) {
+func (p *Peers) onReport(instance string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.peers[instance]; known != nil && known.state.IsAvailable() {
-		known.state.OnReport()
+	if target := p.peers[instance]; target != nil && target.state.IsAvailable() {
+		target.state.OnReport()
 	}
 }
 
-// lost notes a failure of one connection; a later connection to the same instance is not concerned.
-func (p *Peers) lost(instance string, client *rpc.Client, cause string) {
+// onConnectionFailure closes a failed connection and marks the instance as unavailable, unless it has a newer connection.
+func (p *Peers) onConnectionFailure(instance string, client *rpc.Client, cause string) {
 	p.mu.Lock()
-	known := p.peers[instance]
-	if known == nil || known.line.CurrentClient() != client {
+	target := p.peers[instance]
+	if target == nil || target.conn.CurrentClient() != client {
 		p.mu.Unlock()
 		_ = client.Close()
 		return
 	}
-	known.line.Drop(client)
-	tell := p.leaveOut(instance, known, cause)
+	target.conn.Drop(client)
+	shouldNotify := p.markUnavailable(instance, target, cause)
 	p.mu.Unlock()
-	p.tell(instance, tell)
+	p.notify(instance, shouldNotify)
 }
 
-// leave notes that an instance takes no slices for the moment; what it has goes on.
-func (p *Peers) leave(instance string) {
+// onDeclined marks an instance that takes no new slices as unavailable. The slices that it already has continue.
+func (p *Peers) onDeclined(instance string) {
 	p.mu.Lock()
-	tell := false
-	if known := p.peers[instance]; known != nil && known.state.IsAvailable() {
-		tell = p.leaveOut(instance, known, "it takes no slices")
+	shouldNotify := false
+	if target := p.peers[instance]; target != nil && target.state.IsAvailable() {
+		shouldNotify = p.markUnavailable(instance, target, "it takes no slices")
 	}
 	p.mu.Unlock()
-	p.tell(instance, tell)
+	p.notify(instance, shouldNotify)
 }
 
-// leaveOut marks an instance as silent, and tells whether the others should hear of it.
-func (p *Peers) leaveOut(instance string, known *peer, cause string) bool {
-	if !known.state.OnFailure(p.now()) {
+// markUnavailable marks an instance as unavailable and reports whether to notify the other instances. It does not if the
+// instance already was unavailable or if most peers are.
+func (p *Peers) markUnavailable(instance string, target *peer, cause string) bool {
+	if !target.state.OnFailure(p.now()) {
 		return false
 	}
 	p.log.Info("aggregator: instance left out", "peer", instance, "cause", cause)
-	return !p.mostSilent()
+	return !p.mostUnavailable()
 }
 
-func (p *Peers) tell(instance string, tell bool) {
-	if tell && p.onSilent != nil {
-		p.onSilent(instance)
+func (p *Peers) notify(instance string, shouldNotify bool) {
+	if shouldNotify && p.onFailure != nil {
+		p.onFailure(instance)
 	}
 }
 
-func (p *Peers) loop() {
+func (p *Peers) run() {
 	for {
 		select {
 		case <-p.stop:
 			return
-		case <-time.After(look):
+		case <-time.After(checkInterval):
 		}
-		for name, known := range p.idle() {
-			p.opens <- struct{}{}
+		for name, target := range p.peersToCheck() {
+			p.checkSlots <- struct{}{}
 			p.group.Go(func() {
-				defer func() { <-p.opens }()
-				p.ask(name, known)
+				defer func() { <-p.checkSlots }()
+				p.check(name, target)
 			})
 		}
 	}
 }
 
-// idle returns the peers that need a connection, or to be asked whether they are back, and marks them as busy.
-func (p *Peers) idle() map[string]*peer {
+// peersToCheck returns the peers that need a connection or are due for a probe, and marks them as being checked.
+func (p *Peers) peersToCheck() map[string]*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	idle := map[string]*peer{}
-	for name, known := range p.peers {
-		wanted := known.line.CurrentClient() == nil
-		if !known.state.IsAvailable() {
-			wanted = known.state.ShouldProbe(now)
+	due := map[string]*peer{}
+	for name, target := range p.peers {
+		isDue := target.conn.CurrentClient() == nil
+		if !target.state.IsAvailable() {
+			isDue = target.state.ShouldProbe(now)
 		}
-		if wanted && !known.busy {
-			known.busy = true
-			idle[name] = known
+		if isDue && !target.isChecking {
+			target.isChecking = true
+			due[name] = target
 		}
 	}
-	return idle
+	return due
 }
 
-// ask opens the connection to a peer and asks whether it takes slices.
-func (p *Peers) ask(name string, known *peer) {
+// check pings a peer, opening its connection if needed, and updates its health.
+func (p *Peers) check(name string, target *peer) {
 	var ready bool
-	err := known.line.Call(callPing, struct{}{}, &ready, pingTimeout)
+	err := target.conn.Call(callPing, struct{}{}, &ready, pingTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known.busy = false
+	target.isChecking = false
 	if err != nil || !ready {
-		if known.state.OnFailure(p.now()) {
-			p.log.Info("aggregator: instance left out", "peer", name, "ready", ready, "cause", causeOf(err))
+		if target.state.OnFailure(p.now()) {
+			p.log.Info("aggregator: instance left out", "peer", name, "ready", ready, "cause", failureCause(err))
 		}
 		return
 	}
-	if !known.state.IsAvailable() {
+	if !target.state.IsAvailable() {
 		p.log.Info("aggregator: instance used again", "peer", name)
 	}
-	known.state.OnRecovery()
+	target.state.OnRecovery()
 }
 
-func causeOf(err error) string {
+func failureCause(err error) string {
 	if err == nil {
 		return "it takes no slices"
 	}
--- a/pkg/aggregator/service.go
+++ b/pkg/aggregator/service.go
@@ -1,4 +1,5 @@
-// A call that panics costs its slice only: net/rpc would let it end the process.
+// Gather, More and Drop turn a panic into an error of the call, because net/rpc
+// would let it end the process.
 
 package aggregator
 
@@ -7,47 +8,47 @@
 type (
 	// Gatherer gathers slices for other instances.
 	Gatherer interface {
-		// GatherSlice takes a slice and returns its first report.
+		// GatherSlice starts a slice and returns its first report.
 		GatherSlice(query SliceQuery) Report
-		// MoreOfSlice returns the next report of a slice.
-		MoreOfSlice(id SliceID) Report
-		// DropSlice ends a slice; cut ends the work at the leafs as well.
-		DropSlice(id SliceID, cut bool)
-		// Ready tells whether slices are taken.
+		// NextSliceReport returns the next report of a slice.
+		NextSliceReport(id SliceID) Report
+		// CancelSlice ends a slice. If cancelAttempts is set, the attempts at the leafs are cancelled as well.
+		CancelSlice(id SliceID, cancelAttempts bool)
+		// Ready reports whether the instance takes slices.
 		Ready() bool
 	}
 
-	// Service is the net/rpc receiver named Aggregator.
+	// Service is the net/rpc receiver registered as "Aggregator".
 	Service struct {
 		gatherer Gatherer
 	}
 )
 
-// NewService returns the receiver for the instance's gatherer.
+// NewService returns a receiver that passes calls to gatherer.
 func NewService(gatherer Gatherer) *Service { return &Service{gatherer: gatherer} }
 
-// Gather takes a slice and returns at its first report.
+// Gather starts a slice and returns its first report.
 func (s *Service) Gather(query SliceQuery, report *Report) (err error) {
 	defer recoverAs(&err)
 	*report = s.gatherer.GatherSlice(query)
 	return nil
 }
 
-// More returns at the next report of a slice.
+// More permits all attempts of a slice and returns its next report.
 func (s *Service) More(id SliceID, report *Report) (err error) {
 	defer recoverAs(&err)
-	*report = s.gatherer.MoreOfSlice(id)
+	*report = s.gatherer.NextSliceReport(id)
 	return nil
 }
 
-// Drop ends a slice.
+// Drop ends a slice, and if query.Cut is set, the attempts at the leafs too.
 func (s *Service) Drop(query DropQuery, _ *struct{}) (err error) {
 	defer recoverAs(&err)
-	s.gatherer.DropSlice(query.SliceID, query.Cut)
+	s.gatherer.CancelSlice(query.SliceID, query.Cut)
 	return nil
 }
 
-// Ping tells whether slices are taken.
+// Ping reports whether the instance takes slices.
 func (s *Service) Ping(_ struct{}, ready *bool) error {
 	*ready = s.gatherer.Ready()
 	return nil
@@ -55,7 +56,7 @@
 
 // recoverAs turns a panic into the error of the call.
 func recoverAs(err *error) {
-	if fault := recover(); fault != nil {
-		*err = errors.Errorf("the call failed: %v", fault)
+	if reason := recover(); reason != nil {
+		*err = errors.Errorf("call panicked: %v", reason)
 	}
 }
--- a/pkg/aggregator/wire.go
+++ b/pkg/aggregator/wire.go
@@ -1,88 +1,90 @@
-// A slice is some shards of one query, which another instance gathers:
+// A slice is a subset of the shards of one query that another instance gathers:
 //
-//	Gather {ID:7 From:"front-a-1" Request:"9c41" Services:["s1","s2"] Due:47ms}   returns at the first report
-//	More   {ID:7 From:"front-a-1"}                                                returns at the next one
-//	Drop   {ID:7 From:"front-a-1" Cut:true}                                       ends it
+//	Gather {ID:7 From:"front-a-1" Request:"9c41" Services:["s1","s2"] Due:47ms}   returns the first report
+//	More   {ID:7 From:"front-a-1"}                                                returns the next report
+//	Drop   {ID:7 From:"front-a-1" Cut:true}                                       ends the slice
 //
-// A report has the merged records and the proofs of the parts that came since
-// the last one. Until More is called one leaf of each shard is asked: who asked
-// for the slice may have taken it back by then. More grants all attempts.
+// A report has the merged records and the proofs of the parts received since
+// the previous one. Before the first More only one leaf of each shard is tried,
+// because the instance that handed over the slice may already have given up on
+// it and sent the requests itself. More permits all attempts.
 
 package aggregator
 
 import "time"
 
 type (
-	// SliceQuery asks for shards of one query.
+	// SliceQuery asks an instance to gather some shards of one query.
 	SliceQuery struct {
-		// ID is the number of the slice at the instance From.
+		// ID is unique among the slices of the instance From.
 		ID   uint64
 		From string
-		// Request is the caller's identifier of the query.
+		// Request is the request ID given by the caller.
 		Request string
-		// Head is the request line and the headers that all attempts share, Body the whole body.
+		// Head is the request line and the headers shared by all attempts, Body the complete request body.
 		Head []byte
 		Body []byte
-		// RouteName, Host and Prefix name the route, Version the routing document that the shards are from.
+		// RouteName, Host and Prefix identify the route, Version the routing document that the shards are taken from.
 		RouteName string
 		Host      string
 		Prefix    string
 		Version   uint64
 		Services  []string
-		// Attempts is how many leafs of one shard may be asked.
+		// Attempts is the maximum number of attempts per shard.
 		Attempts int
-		// Records is how many records the answer holds.
+		// Records is the number of records in the merged result.
 		Records int
-		// MinParts is how many of the shards the answer needs at least, where the others fare alike.
+		// MinParts is the share of this slice in the minimum number of parts that the query needs.
 		MinParts  int
 		Objective time.Duration
-		// Due, LateUntil and GiveUp are the times of the query, CallerLeft how long the caller still waits, from now on.
+		// Due, LateUntil and GiveUp are the soft, late and final deadlines of the query, and CallerLeft that of its caller. All
+		// are relative to the time of sending.
 		Due        time.Duration
 		LateUntil  time.Duration
 		GiveUp     time.Duration
 		CallerLeft time.Duration
 	}
 
-	// SliceID names a slice.
+	// SliceID identifies a slice.
 	SliceID struct {
 		ID   uint64
 		From string
 	}
 
-	// DropQuery ends a slice; Cut ends the work at the leafs as well.
+	// DropQuery ends a slice. If Cut is set, the attempts at the leafs are cancelled as well.
 	DropQuery struct {
 		SliceID
 		Cut bool
 	}
 
-	// OpenShard is a shard of which no part came yet.
-	OpenShard struct {
-		// Shard is its place among the services of the slice.
+	// PendingShard is a shard whose part has not been received yet.
+	PendingShard struct {
+		// Shard is the index of the shard in SliceQuery.Services.
 		Shard int
-		// Leafs names the leafs that were asked.
+		// Leafs names the leafs that requests were sent to.
 		Leafs string
-		// Lost tells that no further attempt is possible.
+		// Lost is set if no attempts are left.
 		Lost bool
 	}
 
-	// Report is what came of a slice since the last report.
+	// Report is the partial result of a slice since the previous report.
 	Report struct {
-		// NotRun is why nothing was done; empty where the slice was taken.
+		// NotRun is the reason why the slice was refused, or empty if it was accepted.
 		NotRun string
-		// Parts are the places of the shards whose parts are in Records, and Proofs their proofs.
+		// Parts are the indices of the shards whose parts are merged into Records. Proofs are the proofs of these parts.
 		Parts   []int
 		Proofs  []string
 		Records []byte
-		Open    []OpenShard
-		// Extra counts the repeated requests of the whole slice so far, OverBudget those that the budget did not allow.
+		Open    []PendingShard
+		// Extra is the number of retries and hedges of the whole slice so far, OverBudget the number that the budget did not allow.
 		Extra      int
 		OverBudget int
-		// Final tells that nothing more comes.
+		// Final is set in the last report.
 		Final bool
-		// Leaving tells that the instance is about to stop.
+		// Leaving is set if the instance is draining.
 		Leaving bool
 	}
 )
 
-// Name returns the name of the slice.
-func (q SliceQuery) Name() SliceID { return SliceID{ID: q.ID, From: q.From} }
+// SliceID returns the identifier of the slice.
+func (q SliceQuery) SliceID() SliceID { return SliceID{ID: q.ID, From: q.From} }
--- a/pkg/dispatcher/convert.go
+++ b/pkg/dispatcher/convert.go
@@ -31,7 +31,7 @@
 		Slots: reply.Condition.Slots, SinceLimitReset: reply.Condition.ClosedFor, LimitResetReason: reply.Condition.ClosedReason,
 	}
 	switch reply.Kind {
-	case fellow.KindHit:
+	case fellow.KindSuccess:
 		return coordinator.Success{
 			Attempt: reply.ID, Version: coordinator.Version{Index: reply.Index, Number: reply.Version},
 			Shard: reply.Shard, Body: reply.Body, Timing: timing,
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -34,7 +34,7 @@
 	// Transport sends requests and cancellations to the owners of leafs.
 	Transport interface {
 		// Ask sends a request to an owner, whose reply arrives through OnReplies.
-		Ask(owner tabulator.Member, ask fellow.Ask)
+		Ask(owner tabulator.Member, ask fellow.Request)
 		// Cancel cancels the request with the given identifier.
 		Cancel(owner tabulator.MemberID, id uint64)
 		// IsUnresponsive reports whether an owner did not acknowledge what was last sent to it.
@@ -173,13 +173,13 @@
 
 // OnUndelivered ends attempts that were not delivered to their owner. If maybeReceived is set, the owner may have received
 // them, so their outcome is unknown.
-func (d *Dispatcher) OnUndelivered(requests []fellow.Ask, maybeReceived bool, reason string) {
+func (d *Dispatcher) OnUndelivered(requests []fellow.Request, maybeReceived bool, reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, request := range requests {
 		kind := fellow.KindNotRun
 		if maybeReceived {
-			kind = fellow.KindUnknown
+			kind = fellow.KindUnknownOutcome
 		}
 		d.onReply(fellow.Reply{ID: request.ID, Leaf: request.Leaf, Kind: kind, Reason: reason})
 	}
--- a/pkg/dispatcher/dispatcher_test.go
+++ b/pkg/dispatcher/dispatcher_test.go
@@ -26,7 +26,7 @@
 	cancelCount    int
 }
 
-func (f *fakeOwners) Ask(_ tabulator.Member, ask fellow.Ask) {
+func (f *fakeOwners) Ask(_ tabulator.Member, ask fellow.Request) {
 	f.mu.Lock()
 	f.requestCount++
 	f.mu.Unlock()
@@ -35,7 +35,7 @@
 	}
 	time.AfterFunc(f.delay, func() {
 		f.dispatcher.OnReplies(tabulator.MemberID{}, []fellow.Reply{{
-			ID: ask.ID, Leaf: ask.Leaf, Kind: fellow.KindHit, Index: ask.Index, Version: ask.Version, Shard: ask.Shard,
+			ID: ask.ID, Leaf: ask.Leaf, Kind: fellow.KindSuccess, Index: ask.Index, Version: ask.Version, Shard: ask.Shard,
 		}})
 	})
 }
--- a/pkg/emulator/fleet.go
+++ b/pkg/emulator/fleet.go
@@ -263,11 +263,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts.Started++
-	f.queries[request.Query] = true
-	if !request.Effect {
+	f.queries[request.QueryID] = true
+	if !request.IsNonIdempotent {
 		return
 	}
-	key := fmt.Sprintf("%s %s/%d", request.Query, spec.Service, spec.Shard)
+	key := fmt.Sprintf("%s %s/%d", request.QueryID, spec.Service, spec.Shard)
 	f.effects[key]++
 	if f.effects[key] > 1 {
 		f.breaches[BreachDoubleRun]++
--- a/pkg/emulator/leaf.go
+++ b/pkg/emulator/leaf.go
@@ -189,7 +189,7 @@
 
 func (l *Leaf) onHoldings(ctx *fasthttp.RequestCtx) {
 	l.mu.Lock()
-	response := leaf.Response{Start: l.startName(), Holdings: l.versions}
+	response := leaf.Response{RunID: l.startName(), Holdings: l.versions}
 	l.mu.Unlock()
 	reply(ctx, fasthttp.StatusOK, response)
 }
@@ -215,13 +215,13 @@
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
-	from := string(ctx.Request.Header.Peek(leaf.HeaderFrom))
+	from := string(ctx.Request.Header.Peek(leaf.HeaderDataCentre))
 	l.travel(from)
 	cancel, refusal := l.begin(request)
 	if refusal != "" {
 		l.fleet.count(func(c *Counts) { c.Refused++ })
 		l.mu.Lock()
-		response := leaf.Response{ID: request.ID, Reason: refusal, Start: l.startName(), Holdings: l.versions}
+		response := leaf.Response{ID: request.ID, Reason: refusal, RunID: l.startName(), Holdings: l.versions}
 		l.mu.Unlock()
 		reply(ctx, refusalStatus(refusal), response)
 		return
@@ -319,7 +319,7 @@
 }
 
 func (l *Leaf) answer(ctx *fasthttp.RequestCtx, request leaf.Request) {
-	hits, err := json.Marshal([]string{fmt.Sprintf("%s/%d@%d:%s", request.Service, request.Shard, request.Version, request.Query)})
+	hits, err := json.Marshal([]string{fmt.Sprintf("%s/%d@%d:%s", request.Service, request.Shard, request.Version, request.QueryID)})
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
@@ -327,7 +327,7 @@
 	l.mu.Lock()
 	response := leaf.Response{
 		ID: request.ID, Shard: request.Shard, Index: request.Index, Version: request.Version,
-		Hits: hits, Start: l.startName(), Holdings: l.versions,
+		Hits: hits, RunID: l.startName(), Holdings: l.versions,
 	}
 	l.mu.Unlock()
 	l.fleet.count(func(c *Counts) { c.Answered++ })
--- a/pkg/exchanger/body.go
+++ b/pkg/exchanger/body.go
@@ -1,6 +1,6 @@
-// The body of an answer is read in pieces, each of which is counted before it
-// is allocated: an upstream may send bytes without end, at any number of
-// connections at once.
+// Response bodies are read into buffers that are reserved from a memory quota
+// before they are allocated, because an upstream may send an endless body on
+// any number of connections at once.
 
 package exchanger
 
@@ -14,80 +14,79 @@
 )
 
 const (
-	// firstPieceBytes is the size of the first piece of a body whose length is not known, pieceBytes that of the others.
-	firstPieceBytes = 2 << 10
-	pieceBytes      = 16 << 10
-	// wholeBytes is the longest body with a known length that is allocated at once; usual answers have less.
-	wholeBytes = 64 << 10
-	// maxInterim is how many interim answers may come before the final one; upstreams send one at most.
-	maxInterim = 8
+	// firstBufferBytes is the size of the first buffer for a body of unknown length, bufferBytes that of each later one.
+	firstBufferBytes = 2 << 10
+	bufferBytes      = 16 << 10
+	// maxPreallocBytes is the longest body of known length that is allocated in full before it is read. Most bodies are shorter.
+	maxPreallocBytes = 64 << 10
+	// maxInterimResponses is how many 1xx responses may precede the final one. Upstreams send at most one.
+	maxInterimResponses = 8
 
-	// chunkedLength and identityLength are what the HTTP library reports of bodies without a length.
-	chunkedLength  = -1
-	identityLength = -2
+	// chunkedContentLength and unknownContentLength are the values that fasthttp reports for bodies without a Content-Length.
+	chunkedContentLength = -1
+	unknownContentLength = -2
 )
 
-// body collects one body within a limit and a meter.
-type body struct {
-	meter  *Meter
-	limit  int
-	held   int64
-	length int
-	pieces [][]byte
+// bodyReader reads one body within a length limit and a memory quota.
+type bodyReader struct {
+	quota    *Quota
+	limit    int
+	reserved int64
+	length   int
+	buffers  [][]byte
 }
 
-// readBody reads the body of an answer whose head was read, and returns the bytes counted for it; they are the caller's to
-// return. Nothing is held after an error.
-func readBody(reader *bufio.Reader, answer *fasthttp.Response, limit int, meter *Meter) (held int64, err error) {
-	if !hasBody(answer) {
+// readBody reads the body that follows the head of response and returns the number of bytes reserved for it. The caller
+// releases these bytes. On error, nothing stays reserved.
+func readBody(reader *bufio.Reader, response *fasthttp.Response, limit int, quota *Quota) (reserved int64, err error) {
+	if !hasBody(response) {
 		return 0, nil
 	}
-	b := &body{meter: meter, limit: limit}
-	content, err := b.read(reader, answer)
+	b := &bodyReader{quota: quota, limit: limit}
+	content, err := b.read(reader, response)
 	if err != nil {
-		meter.Return(b.held)
+		quota.Release(b.reserved)
 		return 0, err
 	}
-	answer.SetBodyRaw(content)
-	return b.held, nil
+	response.SetBodyRaw(content)
+	return b.reserved, nil
 }
 
-func hasBody(answer *fasthttp.Response) bool {
-	status := answer.StatusCode()
-	return !answer.SkipBody && status >= fasthttp.StatusOK && status != fasthttp.StatusNoContent && status != fasthttp.StatusNotModified
+func hasBody(response *fasthttp.Response) bool {
+	status := response.StatusCode()
+	return !response.SkipBody && status >= fasthttp.StatusOK && status != fasthttp.StatusNoContent && status != fasthttp.StatusNotModified
 }
 
-func (b *body) read(reader *bufio.Reader, answer *fasthttp.Response) ([]byte, error) {
-	switch length := answer.Header.ContentLength(); length {
-	case chunkedLength:
-		content, err := b.readAll(httputil.NewChunkedReader(reader))
+func (b *bodyReader) read(reader *bufio.Reader, response *fasthttp.Response) ([]byte, error) {
+	switch length := response.Header.ContentLength(); length {
+	case chunkedContentLength:
+		content, err := b.readUntilEOF(httputil.NewChunkedReader(reader))
 		if err != nil {
 			return nil, err
 		}
-		if err := answer.Header.ReadTrailer(reader); err != nil && !errors.Is(err, io.EOF) {
-			return nil, errors.Wrap(err, "trailer")
+		if err := response.Header.ReadTrailer(reader); err != nil && !errors.Is(err, io.EOF) {
+			return nil, errors.Wrap(err, "read trailer")
 		}
 		return content, nil
-	case identityLength:
-		return b.readAll(reader)
+	case unknownContentLength:
+		return b.readUntilEOF(reader)
 	default:
-		return b.readLength(reader, length)
+		return b.readFixedLength(reader, length)
 	}
 }
 
-// readLength reads a body of a known length.
-func (b *body) readLength(reader io.Reader, length int) ([]byte, error) {
+func (b *bodyReader) readFixedLength(reader io.Reader, length int) ([]byte, error) {
 	if length > b.limit {
-		return nil, errors.Wrapf(ErrTooLong, "%d bytes of at most %d", length, b.limit)
+		return nil, errors.Wrapf(ErrResponseTooLarge, "Content-Length %d exceeds %d bytes", length, b.limit)
 	}
-	if length > wholeBytes {
-		content, err := b.readAll(io.LimitReader(reader, int64(length)))
+	if length > maxPreallocBytes {
+		content, err := b.readUntilEOF(io.LimitReader(reader, int64(length)))
 		if err == nil && len(content) < length {
 			err = io.ErrUnexpectedEOF
 		}
 		return content, err
 	}
-	if err := b.take(length); err != nil {
+	if err := b.reserve(length); err != nil {
 		return nil, err
 	}
 	content := make([]byte, length)
@@ -95,19 +94,18 @@
 	return content, err
 }
 
-// readAll reads until the end of the body.
-func (b *body) readAll(reader io.Reader) ([]byte, error) {
-	for size := firstPieceBytes; ; size = pieceBytes {
-		if err := b.take(size); err != nil {
+func (b *bodyReader) readUntilEOF(reader io.Reader) ([]byte, error) {
+	for size := firstBufferBytes; ; size = bufferBytes {
+		if err := b.reserve(size); err != nil {
 			return nil, err
 		}
-		piece := make([]byte, size)
-		n, err := fill(reader, piece)
+		buffer := make([]byte, size)
+		n, err := fill(reader, buffer)
 		b.length += n
-		b.pieces = append(b.pieces, piece[:n])
+		b.buffers = append(b.buffers, buffer[:n])
 		switch {
 		case b.length > b.limit:
-			return nil, errors.Wrapf(ErrTooLong, "more than %d bytes", b.limit)
+			return nil, errors.Wrapf(ErrResponseTooLarge, "body exceeds %d bytes", b.limit)
 		case errors.Is(err, io.EOF):
 			return b.join()
 		case err != nil:
@@ -116,39 +114,39 @@
 	}
 }
 
-// fill reads until the piece is full or the reader ends; unlike io.ReadFull it keeps the reader's error.
-func fill(reader io.Reader, piece []byte) (filled int, err error) {
-	for filled < len(piece) && err == nil {
+// fill reads until buffer is full or the reader returns an error. Unlike io.ReadFull it returns that error unchanged.
+func fill(reader io.Reader, buffer []byte) (filled int, err error) {
+	for filled < len(buffer) && err == nil {
 		var n int
-		n, err = reader.Read(piece[filled:])
+		n, err = reader.Read(buffer[filled:])
 		filled += n
 	}
 	return filled, err
 }
 
-// join returns the pieces as one, counted for exactly its length.
-func (b *body) join() ([]byte, error) {
-	if len(b.pieces) == 1 {
-		return b.pieces[0], nil
+// join returns the buffers as one slice. If there is more than one, exactly the length of the body stays reserved.
+func (b *bodyReader) join() ([]byte, error) {
+	if len(b.buffers) == 1 {
+		return b.buffers[0], nil
 	}
-	pieces := b.held
-	if err := b.take(b.length); err != nil {
+	bufferReservation := b.reserved
+	if err := b.reserve(b.length); err != nil {
 		return nil, err
 	}
 	content := make([]byte, 0, b.length)
-	for _, piece := range b.pieces {
-		content = append(content, piece...)
+	for _, buffer := range b.buffers {
+		content = append(content, buffer...)
 	}
-	b.pieces = nil
-	b.meter.Return(pieces)
-	b.held -= pieces
+	b.buffers = nil
+	b.quota.Release(bufferReservation)
+	b.reserved -= bufferReservation
 	return content, nil
 }
 
-func (b *body) take(bytes int) error {
-	if !b.meter.Take(int64(bytes)) {
-		return errors.Wrapf(ErrNoRoom, "after %d bytes of the answer", b.length)
+func (b *bodyReader) reserve(count int) error {
+	if !b.quota.Reserve(int64(count)) {
+		return errors.Wrapf(ErrQuotaExceeded, "after reading %d bytes", b.length)
 	}
-	b.held += int64(bytes)
+	b.reserved += int64(count)
 	return nil
 }
--- a/pkg/exchanger/body_test.go
+++ b/pkg/exchanger/body_test.go
@@ -12,16 +12,15 @@
 	"github.com/pkg/errors"
 )
 
-// endless writes until the connection is closed.
-func endless(c net.Conn, piece string) {
+func writeUntilClosed(c net.Conn, data string) {
 	for {
-		if _, err := io.WriteString(c, piece); err != nil {
+		if _, err := io.WriteString(c, data); err != nil {
 			return
 		}
 	}
 }
 
-// Servers in trouble send bytes that are no answer, without end: each attempt ends by itself, and holds no more than it may.
+// A faulty upstream may send bytes without end. Each exchange must end by itself, release its memory and close the connection.
 func TestAnswersWithoutEnd(t *testing.T) {
 	head := func(c net.Conn, id, lines string) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\n", id, lines)
@@ -32,40 +31,40 @@
 		serve func(c net.Conn, id string)
 		cause error
 	}{
-		{"chunks", func(c net.Conn, id string) {
+		{"endless chunks", func(c net.Conn, id string) {
 			head(c, id, "Transfer-Encoding: chunked\r\n")
-			endless(c, chunk)
-		}, ErrTooLong},
-		{"a body without a length", func(c net.Conn, id string) {
+			writeUntilClosed(c, chunk)
+		}, ErrResponseTooLarge},
+		{"endless body without Content-Length", func(c net.Conn, id string) {
 			head(c, id, "")
-			endless(c, chunk)
-		}, ErrTooLong},
-		{"a length beyond the limit", func(c net.Conn, id string) {
+			writeUntilClosed(c, chunk)
+		}, ErrResponseTooLarge},
+		{"Content-Length above the limit", func(c net.Conn, id string) {
 			head(c, id, "Content-Length: 1000000000\r\n")
-			endless(c, chunk)
-		}, ErrTooLong},
-		{"chunks of nothing but extensions", func(c net.Conn, id string) {
+			writeUntilClosed(c, chunk)
+		}, ErrResponseTooLarge},
+		{"endless chunk extensions", func(c net.Conn, id string) {
 			head(c, id, "Transfer-Encoding: chunked\r\n")
-			endless(c, "1;"+strings.Repeat("e", 1000)+"\r\nx\r\n")
+			writeUntilClosed(c, "1;"+strings.Repeat("e", 1000)+"\r\nx\r\n")
 		}, nil},
-		{"a trailer", func(c net.Conn, id string) {
+		{"endless trailer", func(c net.Conn, id string) {
 			head(c, id, "Transfer-Encoding: chunked\r\n")
 			_, _ = io.WriteString(c, "0\r\n")
-			endless(c, "Extra: "+strings.Repeat("x", 100)+"\r\n")
+			writeUntilClosed(c, "Extra: "+strings.Repeat("x", 100)+"\r\n")
 		}, nil},
-		{"header lines", func(c net.Conn, _ string) {
+		{"endless header lines", func(c net.Conn, _ string) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
-			endless(c, "Extra: "+strings.Repeat("x", 100)+"\r\n")
+			writeUntilClosed(c, "Extra: "+strings.Repeat("x", 100)+"\r\n")
 		}, nil},
-		{"one header line", func(c net.Conn, _ string) {
+		{"one endless header line", func(c net.Conn, _ string) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nExtra: ")
-			endless(c, strings.Repeat("x", 100))
+			writeUntilClosed(c, strings.Repeat("x", 100))
 		}, nil},
-		{"interim answers", func(c net.Conn, _ string) { endless(c, "HTTP/1.1 100 Continue\r\n\r\n") }, ErrInterim},
-		{"answers to another request", func(c net.Conn, _ string) {
-			endless(c, "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 1\r\n\r\nx")
-		}, ErrForeignAnswer},
-		{"zeros", func(c net.Conn, _ string) { endless(c, strings.Repeat("\x00", 512)) }, nil},
+		{"endless interim responses", func(c net.Conn, _ string) { writeUntilClosed(c, "HTTP/1.1 100 Continue\r\n\r\n") }, ErrTooManyInterim},
+		{"endless responses to another request", func(c net.Conn, _ string) {
+			writeUntilClosed(c, "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 1\r\n\r\nx")
+		}, ErrResponseMismatch},
+		{"endless zero bytes", func(c net.Conn, _ string) { writeUntilClosed(c, strings.Repeat("\x00", 512)) }, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,32 +75,32 @@
 			})
 			pool := u.pool(1)
 			defer pool.Close()
-			meter := NewMeter(256<<10, nil)
-			pool.config.MaxAnswer, pool.config.Meter = 128<<10, meter
-			result := exchange(t, pool, request("r1"))
+			quota := NewQuota(256<<10, nil)
+			pool.config.MaxResponseBytes, pool.config.Quota = 128<<10, quota
+			result := runExchange(t, pool, newRequest("r1"))
 			defer result.Release()
-			if result.Answer != nil || !result.Sent || c.cause != nil && !errors.Is(result.Err, c.cause) {
-				t.Fatalf("answer %v, sent %v, error %v; want no answer, sent, and %v", result.Answer, result.Sent, result.Err, c.cause)
+			if result.Response != nil || !result.MaybeSent || c.cause != nil && !errors.Is(result.Err, c.cause) {
+				t.Fatalf("got response %v, sent %v, error %v; want no response, sent true, error %v", result.Response, result.MaybeSent, result.Err, c.cause)
 			}
-			if held := meter.Held(); held != 0 {
-				t.Errorf("%d bytes are held after the end", held)
+			if reserved := quota.Reserved(); reserved != 0 {
+				t.Errorf("%d bytes reserved after the exchange, want 0", reserved)
 			}
 			select {
 			case <-ended:
 			case <-time.After(5 * time.Second):
-				t.Error("the connection is still open")
+				t.Error("connection still open 5 s after the exchange, want closed")
 			}
 		})
 	}
 }
 
-func TestBodiesOfAllLengths(t *testing.T) {
+func TestExchangeBodyLengths(t *testing.T) {
 	forms := []struct {
 		name  string
 		write func(c net.Conn, id string, body []byte)
 	}{
-		{"with a length", func(c net.Conn, id string, body []byte) { ok(c, id, string(body)) }},
-		{"in chunks", func(c net.Conn, id string, body []byte) {
+		{"Content-Length", func(c net.Conn, id string, body []byte) { writeOK(c, id, string(body)) }},
+		{"chunked", func(c net.Conn, id string, body []byte) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n", id)
 			for len(body) > 0 {
 				n := min(len(body), 5000)
@@ -110,13 +109,13 @@
 			}
 			_, _ = io.WriteString(c, "0\r\nTrailing: yes\r\n\r\n")
 		}},
-		{"to the end of the connection", func(c net.Conn, id string, body []byte) {
+		{"until connection close", func(c net.Conn, id string, body []byte) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n\r\n%s", id, body)
 			_ = c.Close()
 		}},
 	}
 	for _, form := range forms {
-		for _, length := range []int{0, 1, firstPieceBytes, firstPieceBytes + 1, wholeBytes + 1, 300_000} {
+		for _, length := range []int{0, 1, firstBufferBytes, firstBufferBytes + 1, maxPreallocBytes + 1, 300_000} {
 			t.Run(fmt.Sprint(form.name, " ", length), func(t *testing.T) {
 				want := make([]byte, length)
 				for i := range want {
@@ -125,44 +124,45 @@
 				u := newUpstream(t, func(c net.Conn, _ *http.Request, id string) { form.write(c, id, want) })
 				pool := u.pool(1)
 				defer pool.Close()
-				pool.config.Meter = NewMeter(1<<20, nil)
-				result := exchange(t, pool, request("r1"))
-				if result.Answer == nil || string(result.Answer.Body()) != string(want) {
-					t.Fatalf("error %v; the body of %d bytes did not come whole", result.Err, length)
+				pool.config.Quota = NewQuota(1<<20, nil)
+				result := runExchange(t, pool, newRequest("r1"))
+				if result.Response == nil || string(result.Response.Body()) != string(want) {
+					t.Fatalf("incomplete or wrong body of %d bytes, error %v", length, result.Err)
 				}
 				result.Release()
-				if held := pool.config.Meter.Held(); held != 0 {
-					t.Errorf("%d bytes are held after the release", held)
+				if reserved := pool.config.Quota.Reserved(); reserved != 0 {
+					t.Errorf("%d bytes reserved after Release, want 0", reserved)
 				}
 			})
 		}
 	}
 }
 
-// Long answers at once fill the memory for answers; short ones still find room.
-func TestMeterRefusesWhatDoesNotFit(t *testing.T) {
-	whole := NewMeter(100, nil)
-	first, second := NewMeter(80, whole), NewMeter(80, whole)
+// Large responses in progress can fill the quota. A reservation beyond the limit of the quota or its parent must fail and
+// leave both unchanged, so that smaller responses still fit.
+func TestQuotaReserveBeyondLimit(t *testing.T) {
+	parent := NewQuota(100, nil)
+	first, second := NewQuota(80, parent), NewQuota(80, parent)
 	steps := []struct {
 		name  string
-		meter *Meter
-		bytes int64
+		quota *Quota
+		count int64
 		want  bool
 	}{
-		{"within both", first, 60, true},
-		{"beyond the query", first, 30, false},
-		{"beyond the whole", second, 50, false},
-		{"what is left of the whole", second, 40, true},
-		{"nothing is left", first, 1, false},
+		{"within both limits", first, 60, true},
+		{"above the child limit", first, 30, false},
+		{"above the parent limit", second, 50, false},
+		{"remainder of the parent", second, 40, true},
+		{"parent exhausted", first, 1, false},
 	}
 	for _, step := range steps {
-		if got := step.meter.Take(step.bytes); got != step.want {
-			t.Errorf("%s: %v, want %v", step.name, got, step.want)
+		if got := step.quota.Reserve(step.count); got != step.want {
+			t.Errorf("%s: reserved %v, want %v", step.name, got, step.want)
 		}
 	}
-	first.Return(60)
-	second.Return(40)
-	if whole.Held() != 0 {
-		t.Errorf("%d bytes are held after all were returned", whole.Held())
+	first.Release(60)
+	second.Release(40)
+	if parent.Reserved() != 0 {
+		t.Errorf("%d bytes reserved after all were released, want 0", parent.Reserved())
 	}
 }
--- a/pkg/exchanger/conn.go
+++ b/pkg/exchanger/conn.go
@@ -1,6 +1,6 @@
-// A connection carries one exchange at a time. Its reader waits for bytes all
-// the time, so that a close, or bytes that belong to no request, are noticed
-// while the connection is idle.
+// A connection carries one exchange at a time. A goroutine reads from it even
+// while it is idle, so that a close by the upstream and unsolicited bytes are
+// detected before the connection is reused.
 
 package exchanger
 
@@ -18,64 +18,65 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	// defaultKeepAlive is how long a connection stays idle where the upstream states nothing.
+	readBufferBytes = 4 << 10
+	// defaultKeepAlive is the idle timeout of a connection whose upstream sends no Keep-Alive header.
 	defaultKeepAlive = 60 * time.Second
-	// keepAliveMargin is taken off the stated time, so that a request does not cross the close.
+	// keepAliveMargin is subtracted from the Keep-Alive timeout, so that no request is sent while the upstream closes the
+	// connection.
 	keepAliveMargin = 700 * time.Millisecond
-	// inlineBody is the largest body that is written by the sender itself; socket buffers hold it.
-	inlineBody = 4 << 10
-	// writeTimeout bounds the writing of a small request into a connection that does not drain.
+	// maxInlineBodyBytes is the largest body that the calling goroutine writes itself, because it fits into the socket buffer.
+	maxInlineBodyBytes = 4 << 10
+	// writeTimeout bounds the write of a small request to an upstream that does not read.
 	writeTimeout = 2 * time.Second
-	// refusalTime is the longest time from a request to the reset of a connection that was not taken: the way there and
-	// back between data centres, and less than the shortest work of today's upstreams takes in all.
-	refusalTime = 6 * time.Millisecond
-	// leastTimeLeft is what an upstream is told at least.
-	leastTimeLeft = time.Millisecond
+	// refusalWindow is how soon after a request a reset means that the upstream did not accept the connection. It covers a
+	// round trip between data centres and is shorter than any upstream takes to serve a request.
+	refusalWindow = 6 * time.Millisecond
+	// minRemainingTime is the shortest remaining time that is sent to an upstream.
+	minRemainingTime = time.Millisecond
 )
 
-// statusLine is the beginning of an answer.
-var statusLine = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]`)
+// statusLinePattern matches the beginning of a response.
+var statusLinePattern = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]`)
 
 type conn struct {
 	pool      *Pool
 	raw       net.Conn
 	reader    *bufio.Reader
-	ticket    *Ticket
+	exchange  *Exchange
 	idleSince time.Time
 	idleUntil time.Time
 	keepAlive time.Duration
-	// suspect marks a connection on which an answer to another request came; it is not used again.
-	suspect bool
-	// answered marks a connection that brought an answer; one that is reset before was not accepted.
-	answered bool
-	// unsent marks a connection that was closed before it took any byte of the request on it.
+	// sawMismatch is set after a response to another request arrived. The connection is not reused.
+	sawMismatch bool
+	// hasResponded is set after the first response. A reset before it means that the connection was not accepted.
+	hasResponded bool
+	// unsent is set if the write failed before any byte of the request was written.
 	unsent bool
 }
 
 func newConn(p *Pool, raw net.Conn) *conn {
-	return &conn{pool: p, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), keepAlive: defaultKeepAlive}
+	return &conn{pool: p, raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), keepAlive: defaultKeepAlive}
 }
 
-func (c *conn) write(ticket *Ticket) {
-	if len(ticket.request.Body) > inlineBody {
-		go c.writeNow(ticket)
+func (c *conn) startWrite(exchange *Exchange) {
+	if len(exchange.request.Body) > maxInlineBodyBytes {
+		go c.writeRequest(exchange)
 		return
 	}
-	c.writeNow(ticket)
+	c.writeRequest(exchange)
 }
 
-// writeNow sends the request; a failure closes the connection, and the reader reports it.
-func (c *conn) writeNow(ticket *Ticket) {
-	left := max(leastTimeLeft, time.Until(ticket.request.Deadline))
-	deadline := writeTimeout
-	if len(ticket.request.Body) > inlineBody {
-		deadline = left
+// writeRequest sends the request. On failure it closes the connection, and readLoop reports the error.
+func (c *conn) writeRequest(exchange *Exchange) {
+	remaining := max(minRemainingTime, time.Until(exchange.request.Deadline))
+	timeout := writeTimeout
+	if len(exchange.request.Body) > maxInlineBodyBytes {
+		timeout = remaining
 	}
-	_ = c.raw.SetWriteDeadline(time.Now().Add(deadline))
-	written, err := c.raw.Write(ticket.request.wire(c.pool.config.Headers, c.pool.instance, left))
+	_ = c.raw.SetWriteDeadline(time.Now().Add(timeout))
+	written, err := c.raw.Write(exchange.request.encode(c.pool.config.Headers, c.pool.instance, remaining))
 	c.pool.mu.Lock()
-	ticket.writing = false
+	exchange.isWriting = false
 	c.unsent = err != nil && written == 0
 	c.pool.mu.Unlock()
 	if err != nil {
@@ -85,41 +86,40 @@
 
 func (c *conn) close() { _ = c.raw.Close() }
 
-// closeIfServing closes the connection while it still carries the exchange.
-func (c *conn) closeIfServing(ticket *Ticket) {
+func (c *conn) closeIfCarrying(exchange *Exchange) {
 	c.pool.mu.Lock()
-	serving := c.ticket == ticket
+	isCarrying := c.exchange == exchange
 	c.pool.mu.Unlock()
-	if serving {
+	if isCarrying {
 		c.close()
 	}
 }
 
-// closeIfSpareSince closes the connection if it carried nothing since the given time and others suffice.
-func (c *conn) closeIfSpareSince(since time.Time) {
+// closeIfSurplus closes the connection if it has been idle since idleSince and the pool has more than minOpen connections.
+func (c *conn) closeIfSurplus(idleSince time.Time) {
 	c.pool.mu.Lock()
-	unused := c.ticket == nil && c.idleSince.Equal(since) && len(c.pool.open) > c.pool.kept
-	if unused {
-		c.pool.forget(c)
+	isSurplus := c.exchange == nil && c.idleSince.Equal(idleSince) && len(c.pool.open) > c.pool.minOpen
+	if isSurplus {
+		c.pool.remove(c)
 	}
 	c.pool.mu.Unlock()
-	if unused {
+	if isSurplus {
 		c.close()
 	}
 }
 
 func (c *conn) readLoop() {
-	err := c.readAnswers()
+	err := c.readResponses()
 	c.close()
-	ticket := c.pool.lost(c)
-	if ticket == nil {
+	exchange := c.pool.onConnClosed(c)
+	if exchange == nil {
 		return
 	}
 	unsent := c.isUnsent()
-	if (unsent || !ticket.request.Once && c.wasRefused(ticket, err)) && c.pool.takeBack(ticket) {
+	if (unsent || !exchange.request.IsNonIdempotent && c.wasRefused(exchange, err)) && c.pool.requeue(exchange) {
 		return
 	}
-	ticket.finish(Result{Err: err, Sent: !unsent})
+	exchange.finish(Result{Err: err, MaybeSent: !unsent})
 }
 
 func (c *conn) isUnsent() bool {
@@ -128,112 +128,114 @@
 	return c.unsent
 }
 
-// wasRefused tells whether the upstream did not take the connection: it reset it before it can have done any work.
-func (c *conn) wasRefused(ticket *Ticket, err error) bool {
-	return !c.answered && errors.Is(err, syscall.ECONNRESET) && time.Since(ticket.sent) < refusalTime
+// wasRefused reports whether the upstream reset the connection too early to have processed the request.
+func (c *conn) wasRefused(exchange *Exchange, err error) bool {
+	return !c.hasResponded && errors.Is(err, syscall.ECONNRESET) && time.Since(exchange.sentAt) < refusalWindow
 }
 
-// readAnswers reads until the connection ends or may not be used again. A fault of the parser costs this connection only.
-func (c *conn) readAnswers() (err error) {
+// readResponses reads responses until the connection ends or must not be reused. A panic of the parser ends only this
+// connection.
+func (c *conn) readResponses() (err error) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			err = errors.Errorf("read the answer: %v", fault)
+		if reason := recover(); reason != nil {
+			err = errors.Errorf("read the answer: %v", reason)
 		}
 	}()
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
 			return errors.Wrap(err, "read the answer")
 		}
-		ticket := c.serving()
-		if ticket == nil {
-			return errors.New("bytes without a request")
+		exchange := c.currentExchange()
+		if exchange == nil {
+			return errors.New("received data without a pending request")
 		}
-		answer, held, err := c.readAnswer(ticket.request)
+		response, reserved, err := c.readResponse(exchange.request)
 		if err != nil {
 			return errors.Wrap(err, "read the answer")
 		}
-		if isSpliced(answer) {
-			fasthttp.ReleaseResponse(answer)
-			c.pool.meterOf(ticket.request).Return(held)
-			return ErrForeignAnswer
+		if containsStatusLine(response) {
+			fasthttp.ReleaseResponse(response)
+			c.pool.quotaFor(exchange.request).Release(reserved)
+			return ErrResponseMismatch
 		}
-		id := answer.Header.Peek(c.pool.config.Headers.RequestID)
-		if string(id) != ticket.request.ID {
-			unnamed := len(id) == 0
-			fasthttp.ReleaseResponse(answer)
-			c.pool.meterOf(ticket.request).Return(held)
-			if unnamed || c.suspect {
-				return ErrForeignAnswer
+		id := response.Header.Peek(c.pool.config.Headers.RequestID)
+		if string(id) != exchange.request.ID {
+			hasNoID := len(id) == 0
+			fasthttp.ReleaseResponse(response)
+			c.pool.quotaFor(exchange.request).Release(reserved)
+			if hasNoID || c.sawMismatch {
+				return ErrResponseMismatch
 			}
-			// A second answer to an earlier request; the one that is waited for follows.
-			c.suspect = true
+			// This is a duplicate response to an earlier request. The response to the current one is still to come.
+			c.sawMismatch = true
 			continue
 		}
-		if !c.deliver(ticket, answer, held) {
+		if !c.deliver(exchange, response, reserved) {
 			return nil
 		}
 	}
 }
 
-// isSpliced tells whether the head runs on from the unfinished head of another answer: a status line stands within it.
-func isSpliced(answer *fasthttp.Response) bool {
-	for name, value := range answer.Header.All() {
-		if statusLine.Match(name) || statusLine.Match(value) {
+// containsStatusLine reports whether a status line stands within the head, which happens if the upstream breaks off one
+// response within its head and starts another.
+func containsStatusLine(response *fasthttp.Response) bool {
+	for name, value := range response.Header.All() {
+		if statusLinePattern.Match(name) || statusLinePattern.Match(value) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *conn) serving() *Ticket {
+func (c *conn) currentExchange() *Exchange {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	return c.ticket
+	return c.exchange
 }
 
-// readAnswer reads the final answer, past interim ones, and returns the bytes counted for its body.
-func (c *conn) readAnswer(request *Request) (answer *fasthttp.Response, held int64, err error) {
-	for range maxInterim + 1 {
-		answer = fasthttp.AcquireResponse()
-		answer.SkipBody = request.NoAnswerBody
-		answer.Header.SetNoDefaultContentType(true)
-		if err = answer.Header.Read(c.reader); err == nil {
-			held, err = readBody(c.reader, answer, c.pool.limitOf(request), c.pool.meterOf(request))
+// readResponse reads the final response, skipping interim ones, and returns the number of bytes reserved for its body.
+func (c *conn) readResponse(request *Request) (response *fasthttp.Response, reserved int64, err error) {
+	for range maxInterimResponses + 1 {
+		response = fasthttp.AcquireResponse()
+		response.SkipBody = request.HasNoResponseBody
+		response.Header.SetNoDefaultContentType(true)
+		if err = response.Header.Read(c.reader); err == nil {
+			reserved, err = readBody(c.reader, response, c.pool.maxBodyBytes(request), c.pool.quotaFor(request))
 		}
 		if err != nil {
-			fasthttp.ReleaseResponse(answer)
+			fasthttp.ReleaseResponse(response)
 			return nil, 0, err
 		}
-		if answer.StatusCode() >= fasthttp.StatusOK {
-			return answer, held, nil
+		if response.StatusCode() >= fasthttp.StatusOK {
+			return response, reserved, nil
 		}
-		fasthttp.ReleaseResponse(answer)
+		fasthttp.ReleaseResponse(response)
 	}
-	return nil, 0, ErrInterim
+	return nil, 0, ErrTooManyInterim
 }
 
-// deliver hands the answer over and tells whether the connection may carry another exchange.
-func (c *conn) deliver(ticket *Ticket, answer *fasthttp.Response, held int64) bool {
-	c.keepAlive = keepAliveOf(answer)
-	c.answered = true
-	reusable := !c.suspect && !answer.ConnectionClose() && c.reader.Buffered() == 0
+// deliver completes the exchange and reports whether the connection may carry another one.
+func (c *conn) deliver(exchange *Exchange, response *fasthttp.Response, reserved int64) bool {
+	c.keepAlive = keepAliveTimeout(response)
+	c.hasResponded = true
+	isReusable := !c.sawMismatch && !response.ConnectionClose() && c.reader.Buffered() == 0
 	c.pool.mu.Lock()
-	c.ticket = nil
-	reusable = reusable && !ticket.writing
+	c.exchange = nil
+	isReusable = isReusable && !exchange.isWriting
 	c.pool.mu.Unlock()
-	if reusable {
+	if isReusable {
 		c.pool.release(c)
 	} else {
-		c.pool.lost(c)
+		c.pool.onConnClosed(c)
 		c.close()
 	}
-	ticket.finish(Result{Answer: answer, Sent: true, held: held, meter: c.pool.meterOf(ticket.request)})
-	return reusable
+	exchange.finish(Result{Response: response, MaybeSent: true, reserved: reserved, quota: c.pool.quotaFor(exchange.request)})
+	return isReusable
 }
 
-// keepAliveOf returns how long the upstream keeps the idle connection, less a margin.
-func keepAliveOf(answer *fasthttp.Response) time.Duration {
-	for _, part := range strings.Split(string(answer.Header.Peek("Keep-Alive")), ",") {
+// keepAliveTimeout returns the idle timeout from the Keep-Alive header, less a margin.
+func keepAliveTimeout(response *fasthttp.Response) time.Duration {
+	for _, part := range strings.Split(string(response.Header.Peek("Keep-Alive")), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
--- a/pkg/exchanger/doc.go
+++ b/pkg/exchanger/doc.go
@@ -1,2 +1,2 @@
-// Package exchanger sends requests to upstreams over kept connections and hands back their whole answers.
+// Package exchanger sends HTTP requests to upstreams over pooled connections and returns their complete responses.
 package exchanger
--- a/pkg/exchanger/exchange.go
+++ b/pkg/exchanger/exchange.go
@@ -1,11 +1,12 @@
-// An exchange is one request to one upstream. Its head is written once for all
-// attempts; what differs is added when it is sent:
+// An exchange is one request to one upstream and its response. The head of the
+// request is encoded once for all attempts. The headers that differ between
+// attempts are appended when the request is sent:
 //
 //	GET /bapu561/2f HTTP/1.1
 //	Host: pupu76.example
 //	...                           head, shared by all attempts
-//	(time left): 1180             added when the request is written
-//	(expected instance): i-7f3a   added for the upstream
+//	(remaining time): 1180        set when the request is written
+//	(expected instance): i-7f3a   set for the upstream
 
 package exchanger
 
@@ -18,96 +19,98 @@
 )
 
 var (
-	// ErrUnreachable says that no connection could be opened, so that nothing was sent.
+	// ErrUnreachable is returned if no connection could be opened. Nothing was sent.
 	ErrUnreachable = errors.New("the upstream could not be reached")
-	// ErrStopped says that the pool was closed before anything was sent.
-	ErrStopped = errors.New("the pool of the upstream is closed")
-	// ErrForeignAnswer says that an answer belonged to another request.
-	ErrForeignAnswer = errors.New("the answer belongs to another request")
-	// ErrInterim says that interim answers came without a final one.
-	ErrInterim = errors.New("too many interim answers")
+	// ErrPoolClosed is returned if the pool was closed, or failed its waiting requests, before the request was sent.
+	ErrPoolClosed = errors.New("connection pool is closed")
+	// ErrResponseMismatch is returned if the response belongs to another request.
+	ErrResponseMismatch = errors.New("response belongs to another request")
+	// ErrTooManyInterim is returned if the upstream sends too many 1xx responses before the final one.
+	ErrTooManyInterim = errors.New("too many interim responses")
 )
 
 type (
-	// Headers names the headers that instances and upstreams exchange.
+	// Headers has the names of the headers that instances and upstreams exchange.
 	Headers struct {
-		// RequestID identifies a request; upstreams repeat it in their answer.
+		// RequestID identifies the request. Upstreams repeat it in the response.
 		RequestID string
-		// TimeLeft has the milliseconds that the caller still waits.
-		TimeLeft string
-		// Expect names the instance that a request is meant for.
-		Expect string
-		// NotRun marks an answer to a request that the upstream did not start.
-		NotRun string
-		// Proof is the upstream's proof of an answer.
+		// RemainingTime is the time until the deadline of the caller, in milliseconds.
+		RemainingTime string
+		// ExpectedInstance identifies the upstream process that the request is intended for.
+		ExpectedInstance string
+		// NotExecuted marks the response to a request that the upstream did not execute.
+		NotExecuted string
+		// Proof is the stamp with which an upstream proves that it gave the response.
 		Proof string
 	}
 
-	// Request is what all attempts of one request share.
+	// Request has what all attempts of one request share.
 	Request struct {
-		// ID is the caller's identifier of the request.
+		// ID is the request ID given by the caller.
 		ID string
-		// Head is the request line and all header lines but those of one attempt.
+		// Head is the request line and the header lines, without those that differ between attempts.
 		Head []byte
-		// Body is the whole body.
+		// Body is the complete request body.
 		Body []byte
-		// NoAnswerBody tells that the answer has no body whatever its headers say.
-		NoAnswerBody bool
+		// HasNoResponseBody is set if the response has no body regardless of its headers, as for HEAD.
+		HasNoResponseBody bool
 		// Deadline is when the caller stops waiting.
 		Deadline time.Time
-		// Once tells that a second execution must not happen, so that only a sound connection may carry the request.
-		Once bool
-		// MaxAnswer bounds the body of the answer, in bytes; 0 is the bound of the pool.
-		MaxAnswer int
-		// Meter bounds the answers held for the whole query; nil is the meter of the pool.
-		Meter *Meter
+		// IsNonIdempotent is set if the request must not be executed twice. It is then sent only on a new connection or one that
+		// was idle for a short time.
+		IsNonIdempotent bool
+		// MaxResponseBytes is the longest response body, in bytes. If 0, the limit of the pool applies.
+		MaxResponseBytes int
+		// Quota limits the memory for the response bodies of the query. If nil, the quota of the pool applies.
+		Quota *Quota
 	}
 
-	// Result is the end of an exchange.
+	// Result is the outcome of an exchange.
 	Result struct {
-		// Answer is the upstream's answer, nil where there is none; the receiver calls Release.
-		Answer *fasthttp.Response
-		// Err says why there is no answer.
+		// Response is the response, or nil if there is none. The receiver must call Release.
+		Response *fasthttp.Response
+		// Err is the reason why there is no response.
 		Err error
-		// Sent tells that the request may have reached the upstream.
-		Sent bool
-		// Queued is how long the request waited for a connection, Travelled the time from writing it to the answer.
-		Queued    time.Duration
-		Travelled time.Duration
-		// held is what the answer counts for at the meter.
-		held  int64
-		meter *Meter
+		// MaybeSent is set if the request may have reached the upstream.
+		MaybeSent bool
+		// QueueTime is the time spent waiting for a connection, ResponseTime the time from sending the request to the end of
+		// the exchange.
+		QueueTime    time.Duration
+		ResponseTime time.Duration
+		// reserved is the number of bytes reserved from quota for the body.
+		reserved int64
+		quota    *Quota
 	}
 )
 
-// Release returns the memory of the answer.
+// Release frees the response and returns its memory to the quota.
 func (r Result) Release() {
-	if r.Answer != nil {
-		fasthttp.ReleaseResponse(r.Answer)
-		r.meter.Return(r.held)
+	if r.Response != nil {
+		fasthttp.ReleaseResponse(r.Response)
+		r.quota.Release(r.reserved)
 	}
 }
 
-// Status returns the status of the answer, 0 where there is none.
+// Status returns the HTTP status code, or 0 if there is no response.
 func (r Result) Status() int {
-	if r.Answer == nil {
+	if r.Response == nil {
 		return 0
 	}
-	return r.Answer.StatusCode()
+	return r.Response.StatusCode()
 }
 
-// wire returns the bytes of one attempt.
-func (r *Request) wire(headers *Headers, instance string, left time.Duration) []byte {
-	buffer := make([]byte, 0, len(r.Head)+len(r.Body)+2*maxHeaderLine)
+// encode returns the request as it is written for one attempt.
+func (r *Request) encode(headers *Headers, instance string, remaining time.Duration) []byte {
+	buffer := make([]byte, 0, len(r.Head)+len(r.Body)+2*headerLineBytes)
 	buffer = append(buffer, r.Head...)
-	buffer = appendHeader(buffer, headers.TimeLeft, strconv.FormatInt(left.Milliseconds(), 10))
-	buffer = appendHeader(buffer, headers.Expect, instance)
+	buffer = appendHeader(buffer, headers.RemainingTime, strconv.FormatInt(remaining.Milliseconds(), 10))
+	buffer = appendHeader(buffer, headers.ExpectedInstance, instance)
 	buffer = append(buffer, "\r\n"...)
 	return append(buffer, r.Body...)
 }
 
-// maxHeaderLine is room for one header line of an attempt, in bytes.
-const maxHeaderLine = 80
+// headerLineBytes is the buffer space set aside for one header line added per attempt.
+const headerLineBytes = 80
 
 func appendHeader(buffer []byte, name, value string) []byte {
 	buffer = append(buffer, name...)
--- a/pkg/exchanger/fuzz_test.go
+++ b/pkg/exchanger/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Whatever bytes an upstream sends, reading them ends, and an answer keeps to its limit.
+// Reading must end for any input, and the response body must not exceed its limit.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 3\r\n\r\nabc",
@@ -23,25 +23,25 @@
 	}
 	const limit = 4 << 10
 	f.Fuzz(func(t *testing.T, data []byte) {
-		meter := NewMeter(2*limit+2*pieceBytes, nil)
+		quota := NewQuota(2*limit+2*bufferBytes, nil)
 		c := &conn{
-			pool:   &Pool{config: &Config{Headers: testHeaders, MaxAnswer: limit, Meter: meter}},
-			reader: bufio.NewReaderSize(bytes.NewReader(data), readBuffer),
+			pool:   &Pool{config: &Config{Headers: testHeaders, MaxResponseBytes: limit, Quota: quota}},
+			reader: bufio.NewReaderSize(bytes.NewReader(data), readBufferBytes),
 		}
-		answer, held, err := c.readAnswer(&Request{ID: "r"})
+		response, reserved, err := c.readResponse(&Request{ID: "r"})
 		if err != nil {
-			if held != 0 || meter.Held() != 0 {
-				t.Fatalf("%d bytes are held after %v", meter.Held(), err)
+			if reserved != 0 || quota.Reserved() != 0 {
+				t.Fatalf("%d bytes reserved after error %v, want 0", quota.Reserved(), err)
 			}
 			return
 		}
-		if len(answer.Body()) > limit || answer.StatusCode() < fasthttp.StatusOK {
-			t.Fatalf("status %d with %d bytes", answer.StatusCode(), len(answer.Body()))
+		if len(response.Body()) > limit || response.StatusCode() < fasthttp.StatusOK {
+			t.Fatalf("got status %d with %d bytes, want a final status and at most %d bytes", response.StatusCode(), len(response.Body()), limit)
 		}
-		result := Result{Answer: answer, held: held, meter: meter}
+		result := Result{Response: response, reserved: reserved, quota: quota}
 		result.Release()
-		if meter.Held() != 0 {
-			t.Fatalf("%d bytes are held after the release", meter.Held())
+		if quota.Reserved() != 0 {
+			t.Fatalf("%d bytes reserved after Release, want 0", quota.Reserved())
 		}
 	})
 }
--- a/pkg/exchanger/meter.go
+++ b/pkg/exchanger/meter.go
@@ -7,43 +7,44 @@
 )
 
 var (
-	// ErrTooLong says that an answer is longer than its request allows.
-	ErrTooLong = errors.New("the answer is longer than its limit")
-	// ErrNoRoom says that the answers under way fill the memory that is set aside for them.
-	ErrNoRoom = errors.New("no memory is left for answers")
+	// ErrResponseTooLarge is returned for a response body longer than the limit of its request.
+	ErrResponseTooLarge = errors.New("the answer is longer than its limit")
+	// ErrQuotaExceeded is returned if a response body exceeds the memory set aside for responses in progress.
+	ErrQuotaExceeded = errors.New("response memory quota exceeded")
 )
 
-// Meter bounds the bytes of answers that are held at one time. What counts for a meter counts for its parent as well: the
-// parts of one query, and all answers of the instance.
-type Meter struct {
-	parent *Meter
-	limit  int64
-	held   atomic.Int64
+// Quota limits the bytes of response bodies held in memory. Bytes reserved from a quota are reserved from its parent as
+// well: the quota of a query has that of the instance as its parent.
+type Quota struct {
+	parent   *Quota
+	limit    int64
+	reserved atomic.Int64
 }
 
-// NewMeter returns a meter for at most limit bytes; parent may be nil.
-func NewMeter(limit int64, parent *Meter) *Meter { return &Meter{parent: parent, limit: limit} }
+// NewQuota returns a quota of limit bytes. The parent may be nil.
+func NewQuota(limit int64, parent *Quota) *Quota { return &Quota{parent: parent, limit: limit} }
 
-// Take counts bytes, or returns false where they do not fit.
-func (m *Meter) Take(bytes int64) bool {
-	if m == nil {
+// Reserve reserves count bytes and reports whether they are within the limits of the quota and its parents. A nil quota has
+// no limit.
+func (q *Quota) Reserve(count int64) bool {
+	if q == nil {
 		return true
 	}
-	if m.held.Add(bytes) > m.limit || !m.parent.Take(bytes) {
-		m.held.Add(-bytes)
+	if q.reserved.Add(count) > q.limit || !q.parent.Reserve(count) {
+		q.reserved.Add(-count)
 		return false
 	}
 	return true
 }
 
-// Return gives back bytes that were taken.
-func (m *Meter) Return(bytes int64) {
-	if m == nil {
+// Release gives back count reserved bytes.
+func (q *Quota) Release(count int64) {
+	if q == nil {
 		return
 	}
-	m.held.Add(-bytes)
-	m.parent.Return(bytes)
+	q.reserved.Add(-count)
+	q.parent.Release(count)
 }
 
-// Held returns how many bytes are held.
-func (m *Meter) Held() int64 { return m.held.Load() }
+// Reserved returns the number of reserved bytes.
+func (q *Quota) Reserved() int64 { return q.reserved.Load() }
--- a/pkg/exchanger/pool.go
+++ b/pkg/exchanger/pool.go
@@ -1,5 +1,6 @@
-// Pool holds the connections of this instance to one upstream. A request takes
-// an idle connection, else a new one while the limit allows it, else it waits.
+// A pool holds the connections of this instance to one upstream. A request uses
+// an idle connection if there is one. Otherwise it waits for the first that
+// becomes free, and the pool opens a new one if its limit allows.
 
 package exchanger
 
@@ -10,29 +11,28 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection: the set-up costs of today's upstreams are 1 to 6 ms, and a lost opening packet is sent again after a second.
+	// dialTimeout bounds the opening of a connection. Upstreams take 1 to 6 ms, and a lost SYN is sent again only after 1 s.
 	dialTimeout = 500 * time.Millisecond
-	// detachGrace is how long a connection may finish an exchange that nobody waits for before it is closed.
-	detachGrace = time.Second
-	// maxTakenBack is how many connections that were not accepted a request waits out.
-	maxTakenBack = 3
-	// ceilingTime is how long a pool opens no further connections after one was not accepted.
-	ceilingTime = 2 * time.Second
-	// freshIdle is the longest time that a connection was idle before it carries a request that must not run twice.
-	freshIdle = 2 * time.Second
+	// abandonGrace is how long an abandoned exchange may go on before its connection is closed.
+	abandonGrace = time.Second
+	// maxRequeues is how often a request may be requeued because its connection was not accepted.
+	maxRequeues = 3
+	// reducedLimitPeriod is how long a pool opens no more connections after the upstream did not accept one.
+	reducedLimitPeriod = 2 * time.Second
+	// maxIdleNonIdempotent is how long a connection may have been idle and still carry a request that is not idempotent.
+	maxIdleNonIdempotent = 2 * time.Second
 )
 
 type (
-	// Config is what the pools of one instance share.
+	// Config has the settings that the pools of one instance share.
 	Config struct {
 		Headers *Headers
-		// Dial opens a connection.
-		Dial func(address string, timeout time.Duration) (net.Conn, error)
-		// MaxAnswer bounds the body of an answer, in bytes.
-		MaxAnswer int
-		// Meter bounds the bytes of all answers held at one time; nil does not.
-		Meter *Meter
-		// OnConnect is told of each connection that was opened, with the time it took, or of the failure; it may be nil.
+		Dial    func(address string, timeout time.Duration) (net.Conn, error)
+		// MaxResponseBytes is the longest response body, in bytes.
+		MaxResponseBytes int
+		// Quota limits the memory for all response bodies. If nil, there is no limit.
+		Quota *Quota
+		// OnConnect, unless nil, is called after each attempt to open a connection, with its duration and error.
 		OnConnect func(address string, took time.Duration, err error)
 	}
 
@@ -43,117 +43,119 @@
 		instance string
 		mu       sync.Mutex
 		limit    int
-		// kept connections stay open while they are idle, the others for spareIdle.
-		kept      int
-		spareIdle time.Duration
-		// ceiling holds the limit down until ceilingUntil, after the upstream did not accept a connection.
-		ceiling      int
-		ceilingUntil time.Time
-		idle         []*conn
-		open         map[*conn]bool
-		dialing      int
-		waiting      []*Ticket
-		closed       bool
+		// minOpen connections stay open while idle. The others close after surplusIdleTimeout.
+		minOpen            int
+		surplusIdleTimeout time.Duration
+		// reducedLimit applies instead of limit until reducedLimitUntil, after the upstream did not accept a connection.
+		reducedLimit      int
+		reducedLimitUntil time.Time
+		idle              []*conn
+		open              map[*conn]bool
+		dialing           int
+		waiting           []*Exchange
+		closed            bool
 	}
 
-	// Ticket is an exchange that was started.
-	Ticket struct {
-		pool    *Pool
-		request *Request
-		done    func(Result)
-		queued  time.Time
-		sent    time.Time
-		conn    *conn
-		ended   bool
-		writing bool
-		// takenBack counts the connections that were not accepted with the request on them.
-		takenBack int
+	// Exchange is a request to one upstream in progress.
+	Exchange struct {
+		pool      *Pool
+		request   *Request
+		onDone    func(Result)
+		queuedAt  time.Time
+		sentAt    time.Time
+		conn      *conn
+		hasEnded  bool
+		isWriting bool
+		// requeues counts how often the request was requeued because its connection was not accepted.
+		requeues int
 	}
 )
 
-// New returns a pool without connections; limit is how many it may open.
+// New returns a pool without connections that opens at most limit connections.
 func New(config *Config, address, instance string, limit int) *Pool {
-	return &Pool{config: config, address: address, instance: instance, limit: max(1, limit), kept: max(1, limit), open: map[*conn]bool{}}
+	return &Pool{config: config, address: address, instance: instance, limit: max(1, limit), minOpen: max(1, limit), open: map[*conn]bool{}}
 }
 
 // Address returns the address of the upstream.
 func (p *Pool) Address() string { return p.address }
 
-// SetLimit changes how many connections the pool may open, how many of them it keeps, and how long the others stay
-// idle; connections beyond the limit close as they become idle.
-func (p *Pool) SetLimit(limit, kept int, idle time.Duration) {
+// SetLimit sets how many connections may be open, how many of them stay open while idle, and after how long the others
+// close. Connections beyond the limit close as soon as they become idle.
+func (p *Pool) SetLimit(limit, minOpen int, surplusIdleTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit, p.kept, p.spareIdle = max(1, limit), kept, idle
+	p.limit, p.minOpen, p.surplusIdleTimeout = max(1, limit), minOpen, surplusIdleTimeout
 }
 
-// limitOf returns the longest body that the request takes.
-func (p *Pool) limitOf(request *Request) int {
-	if request.MaxAnswer > 0 {
-		return min(request.MaxAnswer, p.config.MaxAnswer)
+// maxBodyBytes returns the longest body allowed for the response, in bytes.
+func (p *Pool) maxBodyBytes(request *Request) int {
+	if request.MaxResponseBytes > 0 {
+		return min(request.MaxResponseBytes, p.config.MaxResponseBytes)
 	}
-	return p.config.MaxAnswer
+	return p.config.MaxResponseBytes
 }
 
-// meterOf returns what the answer to the request counts for.
-func (p *Pool) meterOf(request *Request) *Meter {
-	if request.Meter != nil {
-		return request.Meter
+// quotaFor returns the quota that the response body is reserved from.
+func (p *Pool) quotaFor(request *Request) *Quota {
+	if request.Quota != nil {
+		return request.Quota
 	}
-	return p.config.Meter
+	return p.config.Quota
 }
 
-// Load returns how many requests run and how many wait for a connection.
+// Load returns the number of requests in progress and the number of those waiting for a connection.
 func (p *Pool) Load() (running, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.open) - len(p.idle), len(p.waiting)
 }
 
-// Start begins an exchange; done is called once, from another goroutine, unless the ticket is abandoned first.
-func (p *Pool) Start(request *Request, done func(Result)) *Ticket {
-	ticket := &Ticket{pool: p, request: request, done: done, queued: time.Now()}
+// Start sends a request and calls onDone once, from another goroutine, unless the exchange is abandoned first.
+func (p *Pool) Start(request *Request, onDone func(Result)) *Exchange {
+	exchange := &Exchange{pool: p, request: request, onDone: onDone, queuedAt: time.Now()}
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		go ticket.finish(Result{Err: ErrStopped})
-		return ticket
+		go exchange.finish(Result{Err: ErrPoolClosed})
+		return exchange
 	}
-	if c := p.takeIdle(request.Once); c != nil {
-		p.assign(c, ticket)
+	if c := p.takeIdle(request.IsNonIdempotent); c != nil {
+		p.assign(c, exchange)
 		p.mu.Unlock()
-		c.write(ticket)
-		return ticket
+		c.startWrite(exchange)
+		return exchange
 	}
-	p.waiting = append(p.waiting, ticket)
+	p.waiting = append(p.waiting, exchange)
 	p.dialIfNeeded()
 	p.mu.Unlock()
-	return ticket
+	return exchange
 }
 
-// Warm opens a connection ahead of use where fewer than count are open, and tells whether it did.
-func (p *Pool) Warm(count int) bool {
+// Preconnect starts to open a connection if fewer than count are open, and reports whether it did.
+func (p *Pool) Preconnect(count int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.open)+p.dialing >= min(count, p.present()) {
+	if p.closed || len(p.open)+p.dialing >= min(count, p.currentLimit()) {
 		return false
 	}
 	p.dial()
 	return true
 }
 
-// Flush fails the requests that wait for a connection, unsent, so that they can go elsewhere.
-func (p *Pool) Flush() {
+// FailWaiting fails the requests that wait for a connection. They were not sent, so that the caller can send them to another
+// upstream.
+func (p *Pool) FailWaiting() {
 	p.mu.Lock()
 	waiting := p.waiting
 	p.waiting = nil
 	p.mu.Unlock()
-	for _, ticket := range waiting {
-		ticket.finish(Result{Err: ErrStopped})
+	for _, exchange := range waiting {
+		exchange.finish(Result{Err: ErrPoolClosed})
 	}
 }
 
-// Close closes idle connections at once and the others when their exchange ends; what waits fails unsent.
+// Close closes idle connections at once and the others when their exchange ends. It fails the requests that wait for a
+// connection.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -163,63 +165,63 @@
 	for _, c := range idle {
 		c.close()
 	}
-	p.Flush()
+	p.FailWaiting()
 }
 
-// Abandon ends the caller's interest. With cut the connection is closed at once, so that the
-// upstream drops the request; else the exchange may end by itself and keep the connection.
-func (t *Ticket) Abandon(cut bool) {
-	p := t.pool
+// Abandon gives up the exchange, so that its result is not reported. If closeNow is set, the connection is closed at once
+// and the upstream can cancel the request. Otherwise the exchange has a grace period to end and keep the connection.
+func (e *Exchange) Abandon(closeNow bool) {
+	p := e.pool
 	p.mu.Lock()
-	if t.ended {
+	if e.hasEnded {
 		p.mu.Unlock()
 		return
 	}
-	t.ended = true
-	c := t.conn
-	p.dropWaiting(t)
+	e.hasEnded = true
+	c := e.conn
+	p.removeWaiting(e)
 	p.mu.Unlock()
 	if c == nil {
 		return
 	}
-	if cut {
+	if closeNow {
 		c.close()
 		return
 	}
-	time.AfterFunc(detachGrace, func() { c.closeIfServing(t) })
+	time.AfterFunc(abandonGrace, func() { c.closeIfCarrying(e) })
 }
 
-// Sent tells whether the request may have reached the upstream.
-func (t *Ticket) Sent() bool {
-	t.pool.mu.Lock()
-	defer t.pool.mu.Unlock()
-	return t.conn != nil
+// MaybeSent reports whether the request may have reached the upstream.
+func (e *Exchange) MaybeSent() bool {
+	e.pool.mu.Lock()
+	defer e.pool.mu.Unlock()
+	return e.conn != nil
 }
 
-// finish reports the result unless the ticket has ended.
-func (t *Ticket) finish(result Result) {
-	t.pool.mu.Lock()
-	ended := t.ended
-	t.ended = true
-	t.pool.mu.Unlock()
-	if ended {
+// finish reports the result unless the exchange has already ended.
+func (e *Exchange) finish(result Result) {
+	e.pool.mu.Lock()
+	wasEnded := e.hasEnded
+	e.hasEnded = true
+	e.pool.mu.Unlock()
+	if wasEnded {
 		result.Release()
 		return
 	}
-	if !t.sent.IsZero() {
-		result.Queued = t.sent.Sub(t.queued)
-		result.Travelled = time.Since(t.sent)
+	if !e.sentAt.IsZero() {
+		result.QueueTime = e.sentAt.Sub(e.queuedAt)
+		result.ResponseTime = time.Since(e.sentAt)
 	}
-	t.done(result)
+	e.onDone(result)
 }
 
-// takeIdle returns the connection that was idle for the shortest time, if it may be used.
-func (p *Pool) takeIdle(once bool) *conn {
+// takeIdle removes and returns the connection that became idle last, closing those whose idle time is too long.
+func (p *Pool) takeIdle(isNonIdempotent bool) *conn {
 	now := time.Now()
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.After(c.idleUntil) || once && now.Sub(c.idleSince) > freshIdle {
+		if now.After(c.idleUntil) || isNonIdempotent && now.Sub(c.idleSince) > maxIdleNonIdempotent {
 			go c.close()
 			continue
 		}
@@ -228,56 +230,56 @@
 	return nil
 }
 
-func (p *Pool) assign(c *conn, ticket *Ticket) {
-	c.ticket = ticket
-	ticket.conn = c
-	ticket.sent = time.Now()
-	// A small request is written whole before an answer to it can come.
-	ticket.writing = len(ticket.request.Body) > inlineBody
+func (p *Pool) assign(c *conn, exchange *Exchange) {
+	c.exchange = exchange
+	exchange.conn = c
+	exchange.sentAt = time.Now()
+	// A small request is written completely before its response can arrive.
+	exchange.isWriting = len(exchange.request.Body) > maxInlineBodyBytes
 }
 
-func (p *Pool) dropWaiting(ticket *Ticket) {
+func (p *Pool) removeWaiting(exchange *Exchange) {
 	for i, other := range p.waiting {
-		if other == ticket {
+		if other == exchange {
 			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
-// dialIfNeeded opens one connection at a time: each opening holds a slot of the upstream for a moment, and a
-// request that waits takes the first connection that comes free as well.
+// dialIfNeeded opens one connection at a time, because opening one occupies a slot of the upstream for a moment and a
+// waiting request also takes the first connection that becomes free.
 func (p *Pool) dialIfNeeded() {
-	if p.dialing == 0 && len(p.waiting) > 0 && len(p.open) < p.present() {
+	if p.dialing == 0 && len(p.waiting) > 0 && len(p.open) < p.currentLimit() {
 		p.dial()
 	}
 }
 
-// present returns the limit at this moment.
-func (p *Pool) present() int {
-	if p.ceiling > 0 && time.Now().Before(p.ceilingUntil) {
-		return min(p.limit, p.ceiling)
+// currentLimit returns the limit in force now.
+func (p *Pool) currentLimit() int {
+	if p.reducedLimit > 0 && time.Now().Before(p.reducedLimitUntil) {
+		return min(p.limit, p.reducedLimit)
 	}
 	return p.limit
 }
 
-// takeBack lets a request wait for another connection where it never reached the upstream, or most probably did not and a
-// second execution does no harm: the upstream takes no more connections than it has.
-func (p *Pool) takeBack(ticket *Ticket) bool {
+// requeue makes a request wait for another connection and reports whether it did. It is called if no byte of the request
+// was written, or if the upstream probably refused the connection at its connection limit and the request is idempotent.
+func (p *Pool) requeue(exchange *Exchange) bool {
 	p.mu.Lock()
-	if ticket.ended || ticket.takenBack >= maxTakenBack || p.closed {
+	if exchange.hasEnded || exchange.requeues >= maxRequeues || p.closed {
 		p.mu.Unlock()
 		return false
 	}
-	ticket.takenBack++
-	ticket.conn = nil
-	if c := p.takeIdle(ticket.request.Once); c != nil {
-		p.assign(c, ticket)
+	exchange.requeues++
+	exchange.conn = nil
+	if c := p.takeIdle(exchange.request.IsNonIdempotent); c != nil {
+		p.assign(c, exchange)
 		p.mu.Unlock()
-		c.write(ticket)
+		c.startWrite(exchange)
 		return true
 	}
-	p.waiting = append([]*Ticket{ticket}, p.waiting...)
+	p.waiting = append([]*Exchange{exchange}, p.waiting...)
 	p.dialIfNeeded()
 	p.mu.Unlock()
 	return true
@@ -286,34 +288,34 @@
 func (p *Pool) dial() {
 	p.dialing++
 	go func() {
-		begun := time.Now()
+		start := time.Now()
 		raw, err := p.config.Dial(p.address, dialTimeout)
 		if p.config.OnConnect != nil {
-			p.config.OnConnect(p.address, time.Since(begun), err)
+			p.config.OnConnect(p.address, time.Since(start), err)
 		}
 		if err != nil {
-			p.dialFailed()
+			p.onDialError()
 			return
 		}
-		p.dialed(newConn(p, raw))
+		p.onDialed(newConn(p, raw))
 	}()
 }
 
-// dialFailed fails the requests that have no other connection to wait for.
-func (p *Pool) dialFailed() {
+// onDialError fails the waiting requests if no other connection is open or being opened.
+func (p *Pool) onDialError() {
 	p.mu.Lock()
 	p.dialing--
-	var failed []*Ticket
+	var failed []*Exchange
 	if p.dialing == 0 && len(p.open) == 0 {
 		failed, p.waiting = p.waiting, nil
 	}
 	p.mu.Unlock()
-	for _, ticket := range failed {
-		ticket.finish(Result{Err: ErrUnreachable})
+	for _, exchange := range failed {
+		exchange.finish(Result{Err: ErrUnreachable})
 	}
 }
 
-func (p *Pool) dialed(c *conn) {
+func (p *Pool) onDialed(c *conn) {
 	p.mu.Lock()
 	p.dialing--
 	if p.closed {
@@ -330,7 +332,7 @@
 	p.mu.Unlock()
 }
 
-// release hands a free connection to the request that waits longest, or keeps it.
+// release gives a free connection to the request that has waited longest, or makes it idle.
 func (p *Pool) release(c *conn) {
 	p.mu.Lock()
 	if !p.open[c] {
@@ -346,22 +348,22 @@
 		c.idleSince = time.Now()
 		c.idleUntil = c.idleSince.Add(c.keepAlive)
 		p.idle = append(p.idle, c)
-		if len(p.open) > p.kept {
-			since := c.idleSince
-			time.AfterFunc(p.spareIdle, func() { c.closeIfSpareSince(since) })
+		if len(p.open) > p.minOpen {
+			idleSince := c.idleSince
+			time.AfterFunc(p.surplusIdleTimeout, func() { c.closeIfSurplus(idleSince) })
 		}
 		p.mu.Unlock()
 		return
 	}
-	ticket := p.waiting[0]
+	exchange := p.waiting[0]
 	p.waiting = p.waiting[1:]
-	p.assign(c, ticket)
+	p.assign(c, exchange)
 	p.mu.Unlock()
-	c.write(ticket)
+	c.startWrite(exchange)
 }
 
-// forget takes a connection out of the pool; its reader ends once it is closed.
-func (p *Pool) forget(c *conn) {
+// remove takes a connection out of the pool. Its readLoop ends once it is closed.
+func (p *Pool) remove(c *conn) {
 	delete(p.open, c)
 	for i, other := range p.idle {
 		if other == c {
@@ -371,21 +373,21 @@
 	}
 }
 
-// lost forgets a closed connection and returns the exchange that it carried.
-func (p *Pool) lost(c *conn) *Ticket {
+// onConnClosed removes a closed connection and returns the exchange that it carried, if any.
+func (p *Pool) onConnClosed(c *conn) *Exchange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.open[c] {
 		return nil
 	}
-	p.forget(c)
-	ticket := c.ticket
-	c.ticket = nil
-	if !c.answered {
-		p.ceiling, p.ceilingUntil = max(1, len(p.open)), time.Now().Add(ceilingTime)
+	p.remove(c)
+	exchange := c.exchange
+	c.exchange = nil
+	if !c.hasResponded {
+		p.reducedLimit, p.reducedLimitUntil = max(1, len(p.open)), time.Now().Add(reducedLimitPeriod)
 	}
 	if !p.closed {
 		p.dialIfNeeded()
 	}
-	return ticket
+	return exchange
 }
--- a/pkg/fellow/doc.go
+++ b/pkg/fellow/doc.go
@@ -1,2 +1,2 @@
-// Package fellow carries requests and replies between entry instances, many in one call.
+// Package fellow exchanges requests, cancellations and replies with other entry instances, batched over net/rpc.
 package fellow
--- a/pkg/fellow/fellow_test.go
+++ b/pkg/fellow/fellow_test.go
@@ -7,43 +7,49 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-type recorder struct {
-	asks, cancels, replies int
+type recordingHandler struct {
+	requests, cancels, replies int
 }
 
-func (r *recorder) OnAsks(_ tabulator.MemberID, _ string, asks []Ask)  { r.asks += len(asks) }
-func (r *recorder) OnCancels(_ tabulator.MemberID, ids []uint64)       { r.cancels += len(ids) }
-func (r *recorder) OnReplies(_ tabulator.MemberID, replies []Reply)    { r.replies += len(replies) }
-func (r *recorder) Holdings([]string) map[string][]Holding             { return nil }
-func (r *recorder) Release(ReleaseQuery) []Released                    { return nil }
-func (r *recorder) RunTicket(_ string, request []byte) ([]byte, error) { return request, nil }
+func (r *recordingHandler) OnRequests(_ tabulator.MemberID, _ string, requests []Request) {
+	r.requests += len(requests)
+}
+
+func (r *recordingHandler) OnCancels(_ tabulator.MemberID, ids []uint64) { r.cancels += len(ids) }
+
+func (r *recordingHandler) OnReplies(_ tabulator.MemberID, replies []Reply) {
+	r.replies += len(replies)
+}
+func (r *recordingHandler) Holdings([]string) map[string][]Holding             { return nil }
+func (r *recordingHandler) Release(ReleaseQuery) []ReleasedLeaf                { return nil }
+func (r *recordingHandler) RunTicket(_ string, request []byte) ([]byte, error) { return request, nil }
 
-func TestExchangeChecksIncarnationAndSequence(t *testing.T) {
+func TestExchangeIncarnationAndSequence(t *testing.T) {
 	self := tabulator.MemberID{Instance: "e1", Incarnation: 5}
 	from := tabulator.MemberID{Instance: "e2", Incarnation: 1}
 	tests := []struct {
-		name  string
-		batch Batch
-		taken int
-		err   string
+		name         string
+		batch        Batch
+		wantRequests int
+		wantErr      string
 	}{
-		{"first", Batch{From: from, To: self, Sequence: 10, Asks: make([]Ask, 2)}, 2, ""},
-		{"repeated", Batch{From: from, To: self, Sequence: 10, Asks: make([]Ask, 2)}, 2, "came before"},
-		{"out of order", Batch{From: from, To: self, Sequence: 9, Asks: make([]Ask, 1)}, 3, ""},
-		{"for an earlier run", Batch{From: from, To: tabulator.MemberID{Instance: "e1", Incarnation: 4}, Sequence: 11, Asks: make([]Ask, 1)}, 3, wrongIncarnation},
-		{"far ahead", Batch{From: from, To: self, Sequence: 10 + 2*sequenceWindow, Asks: make([]Ask, 1)}, 4, ""},
-		{"too old to tell", Batch{From: from, To: self, Sequence: 8, Asks: make([]Ask, 1)}, 4, "came before"},
-		{"of another run of the sender", Batch{From: tabulator.MemberID{Instance: "e2", Incarnation: 2}, To: self, Sequence: 10, Asks: make([]Ask, 1)}, 5, ""},
+		{"first", Batch{From: from, To: self, Sequence: 10, Asks: make([]Request, 2)}, 2, ""},
+		{"duplicate", Batch{From: from, To: self, Sequence: 10, Asks: make([]Request, 2)}, 2, "duplicate or too old"},
+		{"out of order", Batch{From: from, To: self, Sequence: 9, Asks: make([]Request, 1)}, 3, ""},
+		{"for an earlier incarnation of the receiver", Batch{From: from, To: tabulator.MemberID{Instance: "e1", Incarnation: 4}, Sequence: 11, Asks: make([]Request, 1)}, 3, wrongIncarnation},
+		{"far ahead", Batch{From: from, To: self, Sequence: 10 + 2*sequenceWindow, Asks: make([]Request, 1)}, 4, ""},
+		{"older than the sequence window", Batch{From: from, To: self, Sequence: 8, Asks: make([]Request, 1)}, 4, "duplicate or too old"},
+		{"from another incarnation of the sender", Batch{From: tabulator.MemberID{Instance: "e2", Incarnation: 2}, To: self, Sequence: 10, Asks: make([]Request, 1)}, 5, ""},
 	}
-	handler := &recorder{}
+	handler := &recordingHandler{}
 	service := NewService(self, handler)
 	for _, test := range tests {
 		err := service.Exchange(test.batch, &struct{}{})
-		if (err == nil) != (test.err == "") || (err != nil && !strings.Contains(err.Error(), test.err)) {
-			t.Errorf("%s: error %v, want %q", test.name, err, test.err)
+		if (err == nil) != (test.wantErr == "") || (err != nil && !strings.Contains(err.Error(), test.wantErr)) {
+			t.Errorf("%s: got error %v, want %q", test.name, err, test.wantErr)
 		}
-		if handler.asks != test.taken {
-			t.Errorf("%s: %d asks taken, want %d", test.name, handler.asks, test.taken)
+		if handler.requests != test.wantRequests {
+			t.Errorf("%s: %d requests handled, want %d", test.name, handler.requests, test.wantRequests)
 		}
 	}
 }
--- a/pkg/fellow/link.go
+++ b/pkg/fellow/link.go
@@ -1,5 +1,6 @@
-// A link gathers what goes to one fellow while calls are under way, so that
-// batches grow with the load and a lone request leaves at once.
+// A link queues the requests, cancellations and replies for one peer while
+// calls to it are in progress. Batches therefore grow with the load, and a
+// single request is sent at once.
 
 package fellow
 
@@ -17,115 +18,115 @@
 )
 
 const (
-	wrongIncarnation = "wrong incarnation"
-	maxCallsAtOnce   = 4
-	maxBatchItems    = 256
-	callTimeout      = time.Second
-	lowestAckTime    = 20 * time.Millisecond
-	highestAckTime   = 100 * time.Millisecond
-	ackTimeFactor    = 5
-	ackGain          = 0.1
-	probePause       = 60 * time.Millisecond
+	wrongIncarnation   = "wrong incarnation"
+	maxConcurrentCalls = 4
+	maxBatchItems      = 256
+	callTimeout        = time.Second
+	minAckTimeout      = 20 * time.Millisecond
+	maxAckTimeout      = 100 * time.Millisecond
+	ackTimeoutFactor   = 5
+	ackTimeWeight      = 0.1
+	probeDelay         = 60 * time.Millisecond
 )
 
 type (
-	// Lost is told which asks did not get through, and whether they may have.
-	Lost func(asks []Ask, maybeReceived bool, reason string)
+	// UndeliveredFunc handles requests that were not delivered. If maybeReceived is set, the peer may have received them nevertheless.
+	UndeliveredFunc func(requests []Request, maybeReceived bool, reason string)
 
-	// Link sends to one incarnation of one fellow.
+	// Link sends batches to one incarnation of one peer.
 	Link struct {
-		line    *linker.Peer
-		self    tabulator.MemberID
-		address string
-		peer    tabulator.MemberID
-		lost    Lost
-
-		mu       sync.Mutex
-		wake     *sync.Cond
-		asks     []Ask
-		cancels  []uint64
-		replies  []Reply
-		sequence uint64
-		closed   bool
-		group    conc.WaitGroup
-		ackTime  time.Duration
-		silent   bool
-		probing  bool
-		probe    bool
+		conn          *linker.Peer
+		self          tabulator.MemberID
+		selfAddress   string
+		peer          tabulator.MemberID
+		onUndelivered UndeliveredFunc
+
+		mu               sync.Mutex
+		hasWork          *sync.Cond
+		requests         []Request
+		cancels          []uint64
+		replies          []Reply
+		sequence         uint64
+		isClosed         bool
+		group            conc.WaitGroup
+		meanAckTime      time.Duration
+		isUnresponsive   bool
+		isProbeScheduled bool
+		isProbeDue       bool
 	}
 )
 
-// NewLink returns a link from self, reachable at address, to a fellow.
-func NewLink(l *linker.Linker, self tabulator.MemberID, address string, peer tabulator.Member, lost Lost) *Link {
-	return newLink(l, self, address, peer.ID(), peer.FellowAddress(), lost)
+// NewLink returns a link to a peer. The peer sends its replies to self at selfAddress.
+func NewLink(l *linker.Linker, self tabulator.MemberID, selfAddress string, peer tabulator.Member, onUndelivered UndeliveredFunc) *Link {
+	return newLink(l, self, selfAddress, peer.ID(), peer.FellowAddress(), onUndelivered)
 }
 
-// NewReturnLink returns a link to the sender of a batch.
-func NewReturnLink(l *linker.Linker, self tabulator.MemberID, address string, peer tabulator.MemberID, target string, lost Lost) *Link {
-	return newLink(l, self, address, peer, target, lost)
+// NewReplyLink returns a link to the sender of a batch, which takes replies at peerAddress.
+func NewReplyLink(l *linker.Linker, self tabulator.MemberID, selfAddress string, peer tabulator.MemberID, peerAddress string, onUndelivered UndeliveredFunc) *Link {
+	return newLink(l, self, selfAddress, peer, peerAddress, onUndelivered)
 }
 
-func newLink(l *linker.Linker, self tabulator.MemberID, address string, peer tabulator.MemberID, target string, lost Lost) *Link {
+func newLink(l *linker.Linker, self tabulator.MemberID, selfAddress string, peer tabulator.MemberID, peerAddress string, onUndelivered UndeliveredFunc) *Link {
 	link := &Link{
-		line: l.NewPeer(target), self: self, address: address, peer: peer, lost: lost,
-		// Sequence numbers go on from the clock, so that a later link of this incarnation uses none of them again.
+		conn: l.NewPeer(peerAddress), self: self, selfAddress: selfAddress, peer: peer, onUndelivered: onUndelivered,
+		// Sequence numbers start from the clock, so that later links of this incarnation do not repeat them.
 		sequence: uint64(time.Now().UnixNano()),
 	}
-	link.wake = sync.NewCond(&link.mu)
-	for range maxCallsAtOnce {
+	link.hasWork = sync.NewCond(&link.mu)
+	for range maxConcurrentCalls {
 		link.group.Go(link.run)
 	}
 	return link
 }
 
-// Peer returns the incarnation that the link sends to.
+// Peer returns the peer and incarnation that the link sends to.
 func (l *Link) Peer() tabulator.MemberID { return l.peer }
 
-// Ask queues a request.
-func (l *Link) Ask(ask Ask) {
-	l.add(func() { l.asks = append(l.asks, ask) })
+// QueueRequest queues a request for the next batch.
+func (l *Link) QueueRequest(request Request) {
+	l.enqueue(func() { l.requests = append(l.requests, request) })
 }
 
-// Cancel queues a cancellation.
-func (l *Link) Cancel(id uint64) {
-	l.add(func() { l.cancels = append(l.cancels, id) })
+// QueueCancel queues the cancellation of the request with the given ID for the next batch.
+func (l *Link) QueueCancel(id uint64) {
+	l.enqueue(func() { l.cancels = append(l.cancels, id) })
 }
 
-// Reply queues a reply.
-func (l *Link) Reply(reply Reply) {
-	l.add(func() { l.replies = append(l.replies, reply) })
+// QueueReply queues a reply for the next batch.
+func (l *Link) QueueReply(reply Reply) {
+	l.enqueue(func() { l.replies = append(l.replies, reply) })
 }
 
-// Call makes one call beside the batches.
+// Call calls a method of the peer outside the batches, with the default timeout of 1 s.
 func (l *Link) Call(method string, query, reply any) error {
-	return l.line.Call("Fellow."+method, query, reply, callTimeout)
+	return l.conn.Call("Fellow."+method, query, reply, callTimeout)
 }
 
-// CallFor makes one call that may take up to timeout.
-func (l *Link) CallFor(timeout time.Duration, method string, query, reply any) error {
-	return l.line.Call("Fellow."+method, query, reply, timeout)
+// CallWithTimeout calls a method of the peer outside the batches, with the given timeout.
+func (l *Link) CallWithTimeout(timeout time.Duration, method string, query, reply any) error {
+	return l.conn.Call("Fellow."+method, query, reply, timeout)
 }
 
-// Close drops what is queued and ends the link.
+// Close drops the queue, closes the connection and waits for the calls in progress.
 func (l *Link) Close() {
 	l.mu.Lock()
-	l.closed = true
-	l.wake.Broadcast()
+	l.isClosed = true
+	l.hasWork.Broadcast()
 	l.mu.Unlock()
-	l.line.Close()
+	l.conn.Close()
 	l.group.Wait()
 }
 
-func (l *Link) add(queue func()) {
+func (l *Link) enqueue(appendItem func()) {
 	l.mu.Lock()
-	queue()
+	appendItem()
 	l.mu.Unlock()
-	l.wake.Signal()
+	l.hasWork.Signal()
 }
 
 func (l *Link) run() {
 	for {
-		batch, ok := l.take()
+		batch, ok := l.nextBatch()
 		if !ok {
 			return
 		}
@@ -133,97 +134,98 @@
 	}
 }
 
-func (l *Link) take() (Batch, bool) {
+func (l *Link) nextBatch() (Batch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.closed && !l.probe && len(l.asks)+len(l.cancels)+len(l.replies) == 0 {
-		l.wake.Wait()
+	for !l.isClosed && !l.isProbeDue && len(l.requests)+len(l.cancels)+len(l.replies) == 0 {
+		l.hasWork.Wait()
 	}
-	if l.closed {
+	if l.isClosed {
 		return Batch{}, false
 	}
-	l.probe = false
+	l.isProbeDue = false
 	l.sequence++
-	batch := Batch{From: l.self, Address: l.address, To: l.peer, Sequence: l.sequence}
-	batch.Asks, l.asks = split(l.asks)
-	batch.Cancels, l.cancels = split(l.cancels)
-	batch.Replies, l.replies = split(l.replies)
+	batch := Batch{From: l.self, Address: l.selfAddress, To: l.peer, Sequence: l.sequence}
+	batch.Asks, l.requests = splitBatch(l.requests)
+	batch.Cancels, l.cancels = splitBatch(l.cancels)
+	batch.Replies, l.replies = splitBatch(l.replies)
 	return batch, true
 }
 
-// send makes one call. The call only hands the batch over, so a fellow that does not return from it soon is
-// silent, and what was asked of it may be asked elsewhere.
+// send sends one batch. The peer only queues a batch before it returns from the call. If it does not return within the
+// ack timeout it counts as unresponsive, and the requests are reported so that they can be sent to another instance.
 func (l *Link) send(batch Batch) {
-	client, err := l.line.Client()
+	client, err := l.conn.Client()
 	if err != nil {
-		l.setSilent()
-		l.report(batch.Asks, false, ReasonUnreachable)
+		l.markUnresponsive()
+		l.reportUndelivered(batch.Asks, false, ReasonOwnerUnreachable)
 		return
 	}
-	begun := time.Now()
+	start := time.Now()
 	call := client.Go("Fellow.Exchange", batch, &struct{}{}, make(chan *rpc.Call, 1))
-	inTime, err := l.line.AwaitFor(client, call, l.patience())
-	if !inTime {
-		l.setSilent()
-		l.report(batch.Asks, true, ReasonSilent)
+	isInTime, err := l.conn.AwaitFor(client, call, l.ackTimeout())
+	if !isInTime {
+		l.markUnresponsive()
+		l.reportUndelivered(batch.Asks, true, ReasonOwnerUnresponsive)
 		batch.Asks = nil
-		err = l.line.AwaitOrDrop(client, call, callTimeout)
+		err = l.conn.AwaitOrDrop(client, call, callTimeout)
 	}
 	if err == nil {
-		l.onAck(time.Since(begun))
+		l.onAck(time.Since(start))
 		return
 	}
-	l.setSilent()
+	l.markUnresponsive()
 	var serverError rpc.ServerError
-	refused := errors.As(err, &serverError) && strings.Contains(err.Error(), wrongIncarnation)
-	l.report(batch.Asks, !refused, ReasonUnreachable)
+	wasRefused := errors.As(err, &serverError) && strings.Contains(err.Error(), wrongIncarnation)
+	l.reportUndelivered(batch.Asks, !wasRefused, ReasonOwnerUnreachable)
 }
 
-// Silent tells whether the fellow has not taken what was last sent to it.
-func (l *Link) Silent() bool {
+// IsUnresponsive reports whether the latest call to the peer failed or was not acknowledged in time.
+func (l *Link) IsUnresponsive() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silent
+	return l.isUnresponsive
 }
 
-// setSilent marks the fellow as silent and sends an empty batch after a pause, which ends the silence when it is taken.
-func (l *Link) setSilent() {
+// markUnresponsive marks the peer as unresponsive and, after a delay, sends it an empty batch. The first acknowledged batch
+// clears the mark.
+func (l *Link) markUnresponsive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = true
-	if l.closed || l.probing {
+	l.isUnresponsive = true
+	if l.isClosed || l.isProbeScheduled {
 		return
 	}
-	l.probing = true
-	time.AfterFunc(probePause, func() {
-		l.add(func() { l.probing, l.probe = false, l.silent })
+	l.isProbeScheduled = true
+	time.AfterFunc(probeDelay, func() {
+		l.enqueue(func() { l.isProbeScheduled, l.isProbeDue = false, l.isUnresponsive })
 	})
 }
 
-func (l *Link) onAck(took time.Duration) {
+func (l *Link) onAck(ackTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = false
-	if l.ackTime == 0 {
-		l.ackTime = took
+	l.isUnresponsive = false
+	if l.meanAckTime == 0 {
+		l.meanAckTime = ackTime
 	}
-	l.ackTime += time.Duration(ackGain * float64(took-l.ackTime))
+	l.meanAckTime += time.Duration(ackTimeWeight * float64(ackTime-l.meanAckTime))
 }
 
-// patience returns how long a call may take before the fellow counts as silent.
-func (l *Link) patience() time.Duration {
+// ackTimeout returns how long a call may take before the peer counts as unresponsive.
+func (l *Link) ackTimeout() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(lowestAckTime, min(highestAckTime, ackTimeFactor*l.ackTime))
+	return max(minAckTimeout, min(maxAckTimeout, ackTimeoutFactor*l.meanAckTime))
 }
 
-func (l *Link) report(asks []Ask, maybeReceived bool, reason string) {
-	if len(asks) > 0 && l.lost != nil {
-		l.lost(asks, maybeReceived, reason)
+func (l *Link) reportUndelivered(requests []Request, maybeReceived bool, reason string) {
+	if len(requests) > 0 && l.onUndelivered != nil {
+		l.onUndelivered(requests, maybeReceived, reason)
 	}
 }
 
-func split[T any](items []T) (batch, rest []T) {
+func splitBatch[T any](items []T) (batch, rest []T) {
 	if len(items) <= maxBatchItems {
 		return items, nil
 	}
--- a/pkg/gatekeeper/answer.go
+++ b/pkg/gatekeeper/answer.go
@@ -68,7 +68,7 @@
 
 // writeUpstreamResponse copies an upstream response to the caller.
 func (g *Gatekeeper) writeUpstreamResponse(w http.ResponseWriter, in *inboundRequest, result exchanger.Result) {
-	response := result.Answer
+	response := result.Response
 	header := w.Header()
 	for name, value := range response.Header.All() {
 		key := http.CanonicalHeaderKey(string(name))
@@ -83,7 +83,7 @@
 		header["Content-Type"] = nil
 	}
 	body := response.Body()
-	if in.request.NoAnswerBody {
+	if in.request.HasNoResponseBody {
 		if length := response.Header.ContentLength(); length >= 0 {
 			header.Set("Content-Length", strconv.Itoa(length))
 		}
--- a/pkg/gatekeeper/fleet.go
+++ b/pkg/gatekeeper/fleet.go
@@ -94,7 +94,7 @@
 		prewarmRequests: make(chan struct{}, 1), peers: config.Peers,
 	}
 	if f.peers != nil {
-		f.peers.OnSilent(f.publishSilentInstance)
+		f.peers.SetFailureHandler(f.publishSilentInstance)
 	}
 	go f.prewarmLoop()
 	time.AfterFunc(prewarmDelay, f.startPrewarming)
@@ -122,7 +122,7 @@
 	pools := f.poolsOutOfService()
 	f.mu.Unlock()
 	for _, pool := range pools {
-		pool.Flush()
+		pool.FailWaiting()
 	}
 }
 
@@ -174,7 +174,7 @@
 	coldUntil := readAt + entry.ColdFor
 	if u := f.leafs[entry.ID]; u != nil && u.pool.Address() == entry.Address {
 		if entry.Leaving && !u.leaf.Fields().IsDraining {
-			go u.pool.Flush()
+			go u.pool.FailWaiting()
 		}
 		u.leaf.Update(fields, coldUntil, now)
 		return u
--- a/pkg/gatekeeper/fleet_attempts.go
+++ b/pkg/gatekeeper/fleet_attempts.go
@@ -74,7 +74,7 @@
 		upstream  *upstream
 		latency   *latencyStats
 		startedAt time.Duration
-		ticket    *exchanger.Ticket
+		ticket    *exchanger.Exchange
 		isExtra   bool
 		// isLateRecorded reports whether the attempt has been recorded as late.
 		isLateRecorded bool
--- a/pkg/gatekeeper/fleet_connections.go
+++ b/pkg/gatekeeper/fleet_connections.go
@@ -98,7 +98,7 @@
 func (f *fleet) prewarmLoop() {
 	for range f.prewarmRequests {
 		for _, pool := range f.poolsToPrewarm() {
-			if pool.Warm(prewarmedConnections) {
+			if pool.Preconnect(prewarmedConnections) {
 				time.Sleep(prewarmPause)
 			}
 		}
--- a/pkg/gatekeeper/fleet_observations.go
+++ b/pkg/gatekeeper/fleet_observations.go
@@ -77,6 +77,6 @@
 func (f *fleet) applySilentInstance(observation spreader.Observation, now time.Duration) {
 	instance, isInstance := strings.CutPrefix(observation.Leaf, instancePrefix)
 	if isInstance && f.peers != nil && now-observation.SeenAt < maxSilenceAge {
-		f.peers.Doubt(instance)
+		f.peers.Suspect(instance)
 	}
 }
--- a/pkg/gatekeeper/fleet_slices.go
+++ b/pkg/gatekeeper/fleet_slices.go
@@ -54,7 +54,7 @@
 			if instance == f.self {
 				break
 			}
-			if f.peers.Usable(instance) {
+			if f.peers.IsAvailable(instance) {
 				if groups == nil {
 					groups = map[string][]int{}
 				}
@@ -93,7 +93,7 @@
 			}
 		}
 	}
-	f.peers.Set(peers)
+	f.peers.SetPeers(peers)
 	f.log.Info("gatekeeper: shards divided among instances", "members", len(f.members), "shards", len(shards), "own", ownShards, "peers", len(peers))
 }
 
--- a/pkg/gatekeeper/gatekeeper.go
+++ b/pkg/gatekeeper/gatekeeper.go
@@ -90,7 +90,7 @@
 		config Config
 		fleet  *fleet
 		// bodyMemory accounts for buffered request and response bodies.
-		bodyMemory *exchanger.Meter
+		bodyMemory *exchanger.Quota
 		// slices are the slices that this instance gathers for other instances.
 		slices      *sliceSet
 		connections *connTracker
@@ -112,12 +112,12 @@
 		config.BodyMemoryBytes = defaultBodyMemoryBytes
 	}
 	g := &Gatekeeper{
-		config: config, metrics: metrics.NewSet(), initialized: make(chan struct{}), bodyMemory: exchanger.NewMeter(config.BodyMemoryBytes, nil), slices: newSliceSet(),
+		config: config, metrics: metrics.NewSet(), initialized: make(chan struct{}), bodyMemory: exchanger.NewQuota(config.BodyMemoryBytes, nil), slices: newSliceSet(),
 		connections: newConnTracker(),
 	}
 	g.counters = newCounters(g.metrics)
 	exchange := &exchanger.Config{
-		Headers: &g.config.Headers.Headers, Dial: config.Dial, MaxAnswer: maxAnswerBytes, Meter: g.bodyMemory, OnConnect: g.onConnect,
+		Headers: &g.config.Headers.Headers, Dial: config.Dial, MaxResponseBytes: maxAnswerBytes, Quota: g.bodyMemory, OnConnect: g.onConnect,
 	}
 	g.fleet = newFleet(exchange, config)
 	g.server = &http.Server{Handler: g, IdleTimeout: defaultIdleTimeout, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: g.connections.onState}
@@ -207,12 +207,12 @@
 		return
 	}
 	reserved := bodyReservation(r, maxBodyBytes(table))
-	if !g.bodyMemory.Take(reserved) {
+	if !g.bodyMemory.Reserve(reserved) {
 		g.refuse(w, refusal{id: id, status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter, reason: "no memory is left for bodies", version: table.Version()})
 		return
 	}
-	defer g.bodyMemory.Return(reserved)
-	body, err := readBody(w, r, maxBodyBytes(table), arrived.Add(callerTimeout(r.Header, g.config.Headers.TimeLeft)))
+	defer g.bodyMemory.Release(reserved)
+	body, err := readBody(w, r, maxBodyBytes(table), arrived.Add(callerTimeout(r.Header, g.config.Headers.RemainingTime)))
 	if err != nil {
 		g.handleBodyError(w, id, err)
 		return
@@ -227,12 +227,12 @@
 
 func (g *Gatekeeper) newInboundRequest(r *http.Request, id string, arrived time.Time, table *router.Table, route *router.Route, body []byte) *inboundRequest {
 	headers := &g.config.Headers
-	deadline := arrived.Add(callerTimeout(r.Header, headers.TimeLeft))
+	deadline := arrived.Add(callerTimeout(r.Header, headers.RemainingTime))
 	return &inboundRequest{
 		id: id, arrivedAt: arrived, route: route, version: table.Version(), deadline: deadline,
 		request: exchanger.Request{
-			ID: id, Head: requestHead(r, &headers.Headers, body), Body: body, NoAnswerBody: r.Method == http.MethodHead,
-			Deadline: deadline, Once: !route.Idempotent(),
+			ID: id, Head: requestHead(r, &headers.Headers, body), Body: body, HasNoResponseBody: r.Method == http.MethodHead,
+			Deadline: deadline, IsNonIdempotent: !route.Idempotent(),
 		},
 	}
 }
--- a/pkg/gatekeeper/plain.go
+++ b/pkg/gatekeeper/plain.go
@@ -142,11 +142,11 @@
 	g := f.gate
 	outcome := g.outcomeOf(end.result)
 	g.logAttemptEnd(f.in, end.attempt, outcome, end.result)
-	g.fleet.finish(end.attempt, outcome, end.result.Travelled, end.result.Sent)
+	g.fleet.finish(end.attempt, outcome, end.result.ResponseTime, end.result.MaybeSent)
 	f.attempts = removeAttempt(f.attempts, end.attempt)
-	f.hasReachedLeaf = f.hasReachedLeaf || end.result.Sent
-	mayHaveRun := end.result.Sent && outcome != placer.Refused && outcome != placer.Replaced
-	isFailureResponse := end.result.Answer != nil && (outcome == placer.Failed || outcome == placer.LeafTimedOut)
+	f.hasReachedLeaf = f.hasReachedLeaf || end.result.MaybeSent
+	mayHaveRun := end.result.MaybeSent && outcome != placer.Refused && outcome != placer.Replaced
+	isFailureResponse := end.result.Response != nil && (outcome == placer.Failed || outcome == placer.LeafTimedOut)
 	if outcome == placer.Answered || isFailureResponse && !f.in.route.Idempotent() {
 		f.writeResponse(w, end)
 		return true
@@ -180,7 +180,7 @@
 // close cancels the attempts that are still running, at their leafs as well, and releases unused responses.
 func (f *forwarder) close() {
 	for _, a := range f.attempts {
-		sent := a.ticket.Sent()
+		sent := a.ticket.MaybeSent()
 		a.ticket.Abandon(true)
 		f.gate.fleet.abandon(a, sent)
 	}
@@ -203,10 +203,10 @@
 	running := f.attempts
 	f.attempts = nil
 	for _, a := range running {
-		sent := a.ticket.Sent()
+		sent := a.ticket.MaybeSent()
 		a.ticket.Abandon(true)
 		elapsed := g.config.Now() - a.startedAt
-		g.logAttemptEnd(f.in, a, placer.Unanswered, exchanger.Result{Sent: sent, Travelled: elapsed})
+		g.logAttemptEnd(f.in, a, placer.Unanswered, exchanger.Result{MaybeSent: sent, ResponseTime: elapsed})
 		g.fleet.finish(a, placer.Unanswered, elapsed, sent)
 		f.lastFailure.mayHaveRun = f.lastFailure.mayHaveRun || sent
 	}
@@ -222,7 +222,7 @@
 	g.counters.duration("plain").Update(took.Seconds())
 	g.config.Log.Info("gatekeeper: passed", "request", in.id, "route", in.route.Name(), "version", in.version,
 		"leaf", end.attempt.upstream.leaf.Fields().ID, "status", result.Status(), "took-ms", took.Milliseconds(),
-		"queued-ms", result.Queued.Milliseconds(), "leaf-ms", result.Travelled.Milliseconds())
+		"queued-ms", result.QueueTime.Milliseconds(), "leaf-ms", result.ResponseTime.Milliseconds())
 	result.Release()
 }
 
@@ -252,11 +252,11 @@
 
 // outcomeOf classifies the result of an exchange by what it says about the leaf.
 func (g *Gatekeeper) outcomeOf(result exchanger.Result) placer.Outcome {
-	if errors.Is(result.Err, exchanger.ErrNoRoom) {
+	if errors.Is(result.Err, exchanger.ErrQuotaExceeded) {
 		return placer.Dropped
 	}
-	if result.Answer == nil {
-		if result.Sent {
+	if result.Response == nil {
+		if result.MaybeSent {
 			return placer.Failed
 		}
 		return placer.Unreachable
@@ -276,14 +276,14 @@
 }
 
 func (g *Gatekeeper) hasNotRunHeader(result exchanger.Result) bool {
-	return len(result.Answer.Header.Peek(g.config.Headers.NotRun)) > 0
+	return len(result.Response.Header.Peek(g.config.Headers.NotExecuted)) > 0
 }
 
 func (g *Gatekeeper) failureOf(result exchanger.Result) attemptFailure {
 	switch {
-	case result.Answer == nil && !result.Sent:
+	case result.Response == nil && !result.MaybeSent:
 		return attemptFailure{reason: "the leaf could not be reached"}
-	case result.Answer == nil:
+	case result.Response == nil:
 		return attemptFailure{reason: "the leaf broke off", mayHaveRun: true}
 	case result.Status() == http.StatusMisdirectedRequest || g.hasNotRunHeader(result):
 		return attemptFailure{reason: "the leaf refused"}
--- a/pkg/gatekeeper/request.go
+++ b/pkg/gatekeeper/request.go
@@ -108,7 +108,7 @@
 	buffer = appendHeaderLine(buffer, "Host", r.Host)
 	options := connectionOptions(r.Header)
 	for name, values := range r.Header {
-		if hopByHopHeaders[name] || options[name] || name == headers.TimeLeft || name == headers.Expect {
+		if hopByHopHeaders[name] || options[name] || name == headers.RemainingTime || name == headers.ExpectedInstance {
 			continue
 		}
 		for _, value := range values {
--- a/pkg/gatekeeper/scatter.go
+++ b/pkg/gatekeeper/scatter.go
@@ -49,7 +49,7 @@
 		reports   chan sliceReport
 		top       *gatherer.Top
 		// meter limits the memory held by parts of the query.
-		meter *exchanger.Meter
+		meter *exchanger.Quota
 		// proofs holds the proof headers of the parts.
 		proofs []string
 		// repeats counts the attempts that count against the retry budget.
@@ -123,7 +123,7 @@
 		mayHaveRun: make([][]*placer.Leaf, len(shards)), reached: make([]bool, len(shards)), delegated: make([]*delegatedSlice, len(shards)),
 		completions: make(chan completion, len(shards)*in.route.MaxAttempts()), reports: make(chan sliceReport, len(shards)),
 		top:   gatherer.NewTop(in.route.TopRecords()),
-		meter: exchanger.NewMeter(int64(queryMemoryShare*float64(g.config.BodyMemoryBytes)), g.bodyMemory),
+		meter: exchanger.NewQuota(int64(queryMemoryShare*float64(g.config.BodyMemoryBytes)), g.bodyMemory),
 	}
 }
 
@@ -164,18 +164,18 @@
 	outcome := q.gate.outcomeOf(c.result)
 	proof := ""
 	if outcome == placer.Answered {
-		proof = string(c.result.Answer.Header.Peek(q.gate.config.Headers.Proof))
+		proof = string(c.result.Response.Header.Peek(q.gate.config.Headers.Proof))
 		if c.result.Status() != http.StatusOK || proof == "" {
 			outcome = placer.Failed
 		}
 	}
 	q.gate.logAttemptEnd(q.in, c.attempt, outcome, c.result)
-	q.gate.fleet.finish(c.attempt, outcome, c.result.Travelled, c.result.Sent)
+	q.gate.fleet.finish(c.attempt, outcome, c.result.ResponseTime, c.result.MaybeSent)
 	q.inFlight = removeAttempt(q.inFlight, c.attempt)
 	if outcome == placer.Answered {
 		if q.progress.OnPart(c.shard) {
 			q.proofs = append(q.proofs, proof)
-			q.top.Add(c.result.Answer.Body())
+			q.top.Add(c.result.Response.Body())
 		}
 		return
 	}
@@ -183,8 +183,8 @@
 		q.outcomes = map[*placer.Leaf]placer.Outcome{}
 	}
 	q.outcomes[c.attempt.upstream.leaf] = outcome
-	mayHaveRun := c.result.Sent && outcome != placer.Refused && outcome != placer.Replaced
-	q.reached[c.shard] = q.reached[c.shard] || c.result.Sent
+	mayHaveRun := c.result.MaybeSent && outcome != placer.Refused && outcome != placer.Replaced
+	q.reached[c.shard] = q.reached[c.shard] || c.result.MaybeSent
 	if mayHaveRun {
 		q.mayHaveRun[c.shard] = append(q.mayHaveRun[c.shard], c.attempt.upstream.leaf)
 	}
@@ -203,7 +203,7 @@
 func (q *query) sentAttempts(shard int) []*attempt {
 	var sent []*attempt
 	for _, a := range q.inFlight {
-		if a.shard == shard && a.ticket.Sent() {
+		if a.shard == shard && a.ticket.MaybeSent() {
 			sent = append(sent, a)
 		}
 	}
@@ -218,7 +218,7 @@
 // of the attempts so that the leafs stop work.
 func (q *query) cancelOutstanding(callerLeft bool) {
 	for _, a := range q.inFlight {
-		sent := a.ticket.Sent()
+		sent := a.ticket.MaybeSent()
 		a.ticket.Abandon(callerLeft)
 		q.gate.fleet.abandon(a, sent)
 	}
@@ -321,7 +321,7 @@
 func (q *query) describeOutcome(shard int, leaf *placer.Leaf) string {
 	for _, a := range q.inFlight {
 		if a.shard == shard && a.upstream.leaf == leaf {
-			if a.ticket == nil || !a.ticket.Sent() {
+			if a.ticket == nil || !a.ticket.MaybeSent() {
 				return "waits for a connection"
 			}
 			return "silent"
--- a/pkg/gatekeeper/scatter_ask.go
+++ b/pkg/gatekeeper/scatter_ask.go
@@ -135,7 +135,7 @@
 func (q *query) send(shard int, a *attempt) {
 	q.progress.OnSent(shard, q.gate.config.Now())
 	request := q.in.request
-	request.Meter, request.MaxAnswer = q.meter, maxPartBytes(q.in.route.TopRecords())
+	request.Quota, request.MaxResponseBytes = q.meter, maxPartBytes(q.in.route.TopRecords())
 	request.Deadline = time.Now().Add(q.progress.AttemptDeadline(shard, q.gate.config.Now()) - q.gate.config.Now())
 	a.ticket = a.upstream.pool.Start(&request, func(result exchanger.Result) {
 		q.completions <- completion{shard: shard, attempt: a, result: result}
--- a/pkg/gatekeeper/scatter_slices.go
+++ b/pkg/gatekeeper/scatter_slices.go
@@ -152,7 +152,7 @@
 		q.closeSlice(s)
 		return
 	}
-	s.call.More(q.reportCallback(s))
+	s.call.NextReport(q.reportCallback(s))
 }
 
 // updateOpenShards records the attempts at the open shards of a slice, and extends the time until its next report is due.
@@ -195,7 +195,7 @@
 		}
 	}
 	for s := range silent {
-		s.call.Silent()
+		s.call.MarkUnavailable()
 		q.reclaimSlice(s, "no report in time", true)
 	}
 	return local
@@ -226,7 +226,7 @@
 	for _, s := range q.delegated {
 		if s != nil && !s.isClosed && !dropped[s] {
 			dropped[s] = true
-			s.call.Drop(callerLeft)
+			s.call.Cancel(callerLeft)
 		}
 	}
 }
--- a/pkg/gatekeeper/slice.go
+++ b/pkg/gatekeeper/slice.go
@@ -75,8 +75,8 @@
 	return s.collectReport(g)
 }
 
-// MoreOfSlice allows all attempts of a slice, waits for its next report and returns it.
-func (g *Gatekeeper) MoreOfSlice(id aggregator.SliceID) aggregator.Report {
+// NextSliceReport allows all attempts of a slice, waits for its next report and returns it.
+func (g *Gatekeeper) NextSliceReport(id aggregator.SliceID) aggregator.Report {
 	s := g.slices.find(id)
 	if s == nil {
 		// The slice has run and was removed. With a NotRun reason, the requesting instance would count its shards
@@ -87,8 +87,8 @@
 	return s.collectReport(g)
 }
 
-// DropSlice ends a slice. With cancelAtLeafs, the leafs also stop work on it.
-func (g *Gatekeeper) DropSlice(id aggregator.SliceID, cancelAtLeafs bool) {
+// CancelSlice ends a slice. With cancelAtLeafs, the leafs also stop work on it.
+func (g *Gatekeeper) CancelSlice(id aggregator.SliceID, cancelAtLeafs bool) {
 	if s := g.slices.find(id); s != nil {
 		s.requestStop(cancelAtLeafs)
 	}
@@ -126,7 +126,7 @@
 		RetryUntil: now + query.GiveUp,
 	}
 	return &slice{
-		query: g.newQueryWithPlan(in, plan), id: query.Name(), set: g.slices, stop: make(chan bool, 1), granted: make(chan struct{}, 1), reportReady: make(chan struct{}, 1),
+		query: g.newQueryWithPlan(in, plan), id: query.SliceID(), set: g.slices, stop: make(chan bool, 1), granted: make(chan struct{}, 1), reportReady: make(chan struct{}, 1),
 		reportAt: min(now+plan.HedgeDelay, plan.SoftDeadline), lastCollected: now,
 	}
 }
@@ -220,12 +220,12 @@
 	}
 }
 
-func (s *slice) openShards() []aggregator.OpenShard {
+func (s *slice) openShards() []aggregator.PendingShard {
 	q := s.query
-	var open []aggregator.OpenShard
+	var open []aggregator.PendingShard
 	for shard := range q.shards {
 		if !q.progress.HasPart(shard) {
-			open = append(open, aggregator.OpenShard{
+			open = append(open, aggregator.PendingShard{
 				Shard: shard, Leafs: q.describeAttempts(shard), Lost: q.progress.IsExhausted(shard) && !q.progress.NeedsGrant(),
 			})
 		}
--- a/pkg/gatekeeper/slice_test.go
+++ b/pkg/gatekeeper/slice_test.go
@@ -46,11 +46,11 @@
 	return g.Gatekeeper.GatherSlice(query)
 }
 
-func (g *testGatherer) MoreOfSlice(id aggregator.SliceID) aggregator.Report {
+func (g *testGatherer) NextSliceReport(id aggregator.SliceID) aggregator.Report {
 	if g.forgetsSlices.Load() {
 		id = aggregator.SliceID{From: "nobody"}
 	}
-	return g.Gatekeeper.MoreOfSlice(id)
+	return g.Gatekeeper.NextSliceReport(id)
 }
 
 const testInstances = 8
@@ -128,7 +128,7 @@
 func (g *gathererCluster) isConnected(shards []string) bool {
 	for _, shard := range shards {
 		for _, instance := range g.gate.fleet.assignment.plan.Gatherers(shard) {
-			if instance != "entry-1" && !g.gate.fleet.peers.Usable(instance) {
+			if instance != "entry-1" && !g.gate.fleet.peers.IsAvailable(instance) {
 				return false
 			}
 		}
@@ -314,7 +314,7 @@
 			t.Errorf("the request ran on %d leafs of %s, its route allows 2", runs, service)
 		}
 	}
-	if report := g.gate.MoreOfSlice(aggregator.SliceID{ID: 99, From: "nobody"}); report.NotRun != "" {
+	if report := g.gate.NextSliceReport(aggregator.SliceID{ID: 99, From: "nobody"}); report.NotRun != "" {
 		t.Errorf("unknown slice: got NotRun %q, want none", report.NotRun)
 	}
 }
@@ -477,7 +477,7 @@
 	if report := g.gate.GatherSlice(negativeCounts); len(report.Records) != 0 {
 		t.Errorf("negative record count: got records %q, want none", report.Records)
 	}
-	if report := g.gate.MoreOfSlice(aggregator.SliceID{ID: 99, From: "nobody"}); !report.Final {
+	if report := g.gate.NextSliceReport(aggregator.SliceID{ID: 99, From: "nobody"}); !report.Final {
 		t.Error("unknown slice: got a report that is not final, want final")
 	}
 }
--- a/pkg/gatekeeper/start.go
+++ b/pkg/gatekeeper/start.go
@@ -50,7 +50,7 @@
 // refuses the request and returns nil.
 func (g *Gatekeeper) awaitInitialization(w http.ResponseWriter, r *http.Request, id string) *router.Table {
 	startedAt := time.Now()
-	timeout := callerTimeout(r.Header, g.config.Headers.TimeLeft)
+	timeout := callerTimeout(r.Header, g.config.Headers.RemainingTime)
 	plan := planStartup(g.config.Now(), timeout, rand.Float64())
 	timer := time.NewTimer(plan.wait)
 	defer timer.Stop()
--- a/pkg/leaf/doc.go
+++ b/pkg/leaf/doc.go
@@ -1,2 +1,2 @@
-// Package leaf speaks to upstreams: their wire form, their connections and their errors.
+// Package leaf sends search requests to leafs as JSON over HTTP, pools the connections and classifies the errors.
 package leaf
--- a/pkg/leaf/errors.go
+++ b/pkg/leaf/errors.go
@@ -3,45 +3,45 @@
 import "fmt"
 
 const (
-	// StepConnect is the opening of a connection.
+	// StepConnect is opening or preparing the connection, before any byte is written.
 	StepConnect Step = "connect"
-	// StepGate is the check just before the request is written.
-	StepGate Step = "gate"
-	// StepWrite is the sending of the request.
+	// StepSendCheck is the check just before the request is written.
+	StepSendCheck Step = "gate"
+	// StepWrite is writing the request.
 	StepWrite Step = "write"
-	// StepRead is the receipt of the response.
+	// StepRead is reading the response.
 	StepRead Step = "read"
-	// StepDecode is the decoding of the response.
+	// StepDecode is decoding the response body.
 	StepDecode Step = "decode"
-	// StepCheck is the comparison of the response with the request.
+	// StepCheck is comparing the response ID with the request ID.
 	StepCheck Step = "check"
 )
 
 type (
-	// Step is the part of an exchange at which an error arose.
+	// Step is the step of an exchange that failed.
 	Step string
 
-	// Error carries the step and the peer at which it arose.
+	// Error is the failure of an exchange, with the address of the leaf and the step that failed.
 	Error struct {
 		step    Step
-		peer    string
+		address string
 		timeout bool
 		cause   error
 	}
 )
 
-// Step returns the step at which the error arose.
+// Step returns the step that failed.
 func (e *Error) Step() Step { return e.step }
 
-// Timeout tells whether the time ran out.
+// Timeout reports whether the exchange timed out.
 func (e *Error) Timeout() bool { return e.timeout }
 
-// NotSent tells whether no byte of the request can have left.
-func (e *Error) NotSent() bool { return e.step == StepConnect || e.step == StepGate }
+// NotSent reports whether it is certain that no byte of the request was sent.
+func (e *Error) NotSent() bool { return e.step == StepConnect || e.step == StepSendCheck }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.cause }
 
 func (e *Error) Error() string {
-	return fmt.Sprintf("leaf %s: %s: %v", e.peer, e.step, e.cause)
+	return fmt.Sprintf("leaf %s: %s: %v", e.address, e.step, e.cause)
 }
--- a/pkg/leaf/leaf_test.go
+++ b/pkg/leaf/leaf_test.go
@@ -15,7 +15,8 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// TestMain serves one request outside any bubble, since fasthttp then starts a goroutine that never ends.
+// TestMain serves one request outside any synctest bubble, because the first request makes fasthttp start a goroutine that
+// never ends.
 func TestMain(m *testing.M) {
 	listener := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(fasthttp.StatusOK) }}
@@ -27,34 +28,34 @@
 	os.Exit(m.Run())
 }
 
-type fixture struct {
+type testServer struct {
 	listener *fasthttputil.InmemoryListener
 	server   *fasthttp.Server
 	mu       sync.Mutex
 	dials    int
 }
 
-func serve(handler fasthttp.RequestHandler) *fixture {
-	f := &fixture{listener: fasthttputil.NewInmemoryListener(), server: &fasthttp.Server{Handler: handler, NoDefaultDate: true}}
+func newTestServer(handler fasthttp.RequestHandler) *testServer {
+	f := &testServer{listener: fasthttputil.NewInmemoryListener(), server: &fasthttp.Server{Handler: handler, NoDefaultDate: true}}
 	go func() { _ = f.server.Serve(f.listener) }()
 	return f
 }
 
-func (f *fixture) client(connections int, options ...Option) *Client {
+func (f *testServer) client(maxConnections int, options ...Option) *Client {
 	dial := func(string, time.Duration) (net.Conn, error) {
 		f.mu.Lock()
 		f.dials++
 		f.mu.Unlock()
 		return f.listener.Dial()
 	}
-	return New("leaf", connections, append([]Option{WithDial(dial)}, options...)...)
+	return New("leaf", maxConnections, append([]Option{WithDial(dial)}, options...)...)
 }
 
-func (f *fixture) close(c *Client) {
+func (f *testServer) close(c *Client) {
 	c.Close()
 	_ = f.server.Shutdown()
 	_ = f.listener.Close()
-	// The server's workers end some time after their last connection.
+	// The workers of the server end some time after their last connection.
 	time.Sleep(2 * time.Minute)
 }
 
@@ -64,13 +65,13 @@
 	ctx.SetBody(body)
 }
 
-func requestOf(ctx *fasthttp.RequestCtx) Request {
+func decodeRequest(ctx *fasthttp.RequestCtx) Request {
 	var request Request
 	_ = json.Unmarshal(ctx.PostBody(), &request)
 	return request
 }
 
-func TestSearch(t *testing.T) {
+func TestSearchOutcomes(t *testing.T) {
 	tests := []struct {
 		name    string
 		handler fasthttp.RequestHandler
@@ -78,37 +79,37 @@
 		refused bool
 		step    Step
 	}{
-		{"answers", func(ctx *fasthttp.RequestCtx) { respond(ctx, 200, Response{ID: requestOf(ctx).ID}) }, true, false, ""},
-		{"refuses", func(ctx *fasthttp.RequestCtx) {
-			respond(ctx, 503, Response{ID: requestOf(ctx).ID, Reason: ReasonShed})
+		{"success", func(ctx *fasthttp.RequestCtx) { respond(ctx, 200, Response{ID: decodeRequest(ctx).ID}) }, true, false, ""},
+		{"refused", func(ctx *fasthttp.RequestCtx) {
+			respond(ctx, 503, Response{ID: decodeRequest(ctx).ID, Reason: ReasonShed})
 		}, false, true, ""},
-		{"started and gave up", func(ctx *fasthttp.RequestCtx) {
-			respond(ctx, 409, Response{ID: requestOf(ctx).ID, Reason: "cancelled", Started: true})
+		{"cancelled after start", func(ctx *fasthttp.RequestCtx) {
+			respond(ctx, 409, Response{ID: decodeRequest(ctx).ID, Reason: "cancelled", Started: true})
 		}, false, false, ""},
-		{"another id", func(ctx *fasthttp.RequestCtx) { respond(ctx, 200, Response{ID: "other"}) }, false, false, StepCheck},
-		{"no JSON", func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("{") }, false, false, StepDecode},
-		{"too large", func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString(strings.Repeat("x", maxResponse+1)) }, false, false, StepRead},
-		{"closes", func(ctx *fasthttp.RequestCtx) {
+		{"response ID mismatch", func(ctx *fasthttp.RequestCtx) { respond(ctx, 200, Response{ID: "other"}) }, false, false, StepCheck},
+		{"invalid JSON", func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("{") }, false, false, StepDecode},
+		{"response too large", func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString(strings.Repeat("x", maxResponseBytes+1)) }, false, false, StepRead},
+		{"connection closed", func(ctx *fasthttp.RequestCtx) {
 			ctx.HijackSetNoResponse(true)
 			ctx.Hijack(func(c net.Conn) { _ = c.Close() })
 		}, false, false, StepRead},
-		{"never answers", func(*fasthttp.RequestCtx) { time.Sleep(time.Minute) }, false, false, StepRead},
+		{"timeout", func(*fasthttp.RequestCtx) { time.Sleep(time.Minute) }, false, false, StepRead},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := serve(test.handler)
+				f := newTestServer(test.handler)
 				client := f.client(2)
 				exchange, err := client.Search(Request{ID: "1"}, time.Second)
-				var fault *Error
-				if errors.As(err, &fault) != (test.step != "") || (fault != nil && fault.Step() != test.step) {
-					t.Errorf("error %v, want step %q", err, test.step)
+				var leafErr *Error
+				if errors.As(err, &leafErr) != (test.step != "") || (leafErr != nil && leafErr.Step() != test.step) {
+					t.Errorf("got error %v, want step %q", err, test.step)
 				}
 				if err == nil && (exchange.OK() != test.ok || exchange.Refused() != test.refused) {
-					t.Errorf("ok %t, refused %t", exchange.OK(), exchange.Refused())
+					t.Errorf("got OK %t, refused %t; want %t, %t", exchange.OK(), exchange.Refused(), test.ok, test.refused)
 				}
 				if err != nil && client.Connections() != 0 {
-					t.Error("a connection was kept after an error")
+					t.Errorf("%d connections open after an error, want 0", client.Connections())
 				}
 				f.close(client)
 			})
@@ -116,10 +117,10 @@
 	}
 }
 
-func TestLateResponseReachesNoOtherExchange(t *testing.T) {
+func TestSearchAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := serve(func(ctx *fasthttp.RequestCtx) {
-			request := requestOf(ctx)
+		f := newTestServer(func(ctx *fasthttp.RequestCtx) {
+			request := decodeRequest(ctx)
 			if request.ID == "slow" {
 				time.Sleep(2 * time.Second)
 			}
@@ -127,46 +128,46 @@
 		})
 		client := f.client(1)
 		if _, err := client.Search(Request{ID: "slow"}, time.Second); err == nil {
-			t.Error("the slow exchange did not time out")
+			t.Error("slow search succeeded, want a timeout after 1 s")
 		}
 		time.Sleep(3 * time.Second)
 		exchange, err := client.Search(Request{ID: "next"}, time.Second)
 		if err != nil || exchange.Response().ID != "next" {
-			t.Errorf("the next exchange got %q, %v", exchange.Response().ID, err)
+			t.Errorf("next search: got response %q, error %v; want response \"next\"", exchange.Response().ID, err)
 		}
 		f.close(client)
 	})
 }
 
-func TestResponsesOutliveTheirBuffers(t *testing.T) {
+func TestResponseOutlivesBuffer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := serve(func(ctx *fasthttp.RequestCtx) {
-			id := requestOf(ctx).ID
+		f := newTestServer(func(ctx *fasthttp.RequestCtx) {
+			id := decodeRequest(ctx).ID
 			respond(ctx, 200, Response{ID: id, Hits: json.RawMessage(`"` + strings.Repeat(id, 50) + `"`)})
 		})
 		client := f.client(1)
-		var kept []Exchange
+		var exchanges []Exchange
 		for _, id := range []string{"a", "b", "c", "d"} {
 			exchange, err := client.Search(Request{ID: id}, time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept = append(kept, exchange)
+			exchanges = append(exchanges, exchange)
 		}
 		for i, id := range []string{"a", "b", "c", "d"} {
-			if got := string(kept[i].Response().Hits); got != `"`+strings.Repeat(id, 50)+`"` {
-				t.Errorf("the hits of %s have become %s", id, got)
+			if got := string(exchanges[i].Response().Hits); got != `"`+strings.Repeat(id, 50)+`"` {
+				t.Errorf("hits of request %s changed to %s", id, got)
 			}
 		}
 		f.close(client)
 	})
 }
 
-func TestConnectionsStayWithinTheLimit(t *testing.T) {
+func TestSearchBeyondConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := serve(func(ctx *fasthttp.RequestCtx) {
+		f := newTestServer(func(ctx *fasthttp.RequestCtx) {
 			time.Sleep(time.Second)
-			respond(ctx, 200, Response{ID: requestOf(ctx).ID})
+			respond(ctx, 200, Response{ID: decodeRequest(ctx).ID})
 		})
 		client := f.client(2)
 		results := make(chan error, 5)
@@ -176,51 +177,51 @@
 				results <- err
 			}()
 		}
-		refused := 0
+		failures := 0
 		for range 5 {
-			var fault *Error
-			if err := <-results; errors.As(err, &fault) {
-				refused++
-				if !fault.NotSent() {
-					t.Errorf("%v does not count as not sent", err)
+			var leafErr *Error
+			if err := <-results; errors.As(err, &leafErr) {
+				failures++
+				if !leafErr.NotSent() {
+					t.Errorf("NotSent is false for error %v, want true", err)
 				}
 			}
 		}
-		if refused != 3 || f.dials != 2 {
-			t.Errorf("%d refused with %d connections, want 3 with 2", refused, f.dials)
+		if failures != 3 || f.dials != 2 {
+			t.Errorf("got %d failures with %d connections, want 3 with 2", failures, f.dials)
 		}
 		f.close(client)
 	})
 }
 
-func TestGateKeepsTheRequestBack(t *testing.T) {
+func TestSearchSendCheckFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		received := 0
-		f := serve(func(ctx *fasthttp.RequestCtx) { received++; respond(ctx, 200, Response{ID: requestOf(ctx).ID}) })
-		client := f.client(1, WithGate(func() error { return errors.New("no-lease") }))
+		f := newTestServer(func(ctx *fasthttp.RequestCtx) { received++; respond(ctx, 200, Response{ID: decodeRequest(ctx).ID}) })
+		client := f.client(1, WithSendCheck(func() error { return errors.New("no-lease") }))
 		_, err := client.Search(Request{ID: "1"}, time.Second)
-		var fault *Error
-		if !errors.As(err, &fault) || !fault.NotSent() || received != 0 {
-			t.Errorf("error %v, %d received", err, received)
+		var leafErr *Error
+		if !errors.As(err, &leafErr) || !leafErr.NotSent() || received != 0 {
+			t.Errorf("got error %v, %d requests received; want an unsent request and 0 received", err, received)
 		}
 		f.close(client)
 	})
 }
 
-func TestPreparedConnectionsAreUsed(t *testing.T) {
+func TestSearchUsesPreconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := serve(func(ctx *fasthttp.RequestCtx) { respond(ctx, 200, Response{ID: requestOf(ctx).ID}) })
+		f := newTestServer(func(ctx *fasthttp.RequestCtx) { respond(ctx, 200, Response{ID: decodeRequest(ctx).ID}) })
 		client := f.client(5)
-		if err := client.Prepare(3); err != nil {
+		if err := client.Preconnect(3); err != nil {
 			t.Fatal(err)
 		}
 		exchange, err := client.Search(Request{ID: "1"}, time.Second)
-		if err != nil || exchange.Connect() != 0 || f.dials != 3 {
-			t.Errorf("connect %s, %d connections, %v", exchange.Connect(), f.dials, err)
+		if err != nil || exchange.ConnectTime() != 0 || f.dials != 3 {
+			t.Errorf("got connect time %s, %d connections opened, error %v; want 0s, 3 and no error", exchange.ConnectTime(), f.dials, err)
 		}
-		client.SetConnections(1)
+		client.SetMaxConnections(1)
 		if client.Connections() != 1 {
-			t.Errorf("%d connections after the limit fell to 1", client.Connections())
+			t.Errorf("%d connections open with limit 1, want 1", client.Connections())
 		}
 		f.close(client)
 	})
--- a/pkg/leaf/pool.go
+++ b/pkg/leaf/pool.go
@@ -1,7 +1,7 @@
-// The pool keeps connections to one leaf open ahead of need and never holds
-// more than the row allows. A connection belongs to one exchange at a time
-// and is closed after any error, so a late response cannot reach another
-// exchange.
+// The pool opens connections to one leaf in advance and never more than the
+// configured limit. A connection carries one exchange at a time and is closed
+// after any error, so that a late response cannot be taken for the response to
+// another request.
 
 package leaf
 
@@ -16,14 +16,14 @@
 
 const dialTimeout = 500 * time.Millisecond
 
-var errNoConnection = errors.New("all connections are in use")
+var errPoolExhausted = errors.New("connection limit reached")
 
 type (
-	// Dial opens a connection to an address.
+	// Dial opens a connection to address within timeout.
 	Dial func(address string, timeout time.Duration) (net.Conn, error)
 
 	connection struct {
-		conn   net.Conn
+		raw    net.Conn
 		reader *bufio.Reader
 		writer *bufio.Writer
 	}
@@ -44,22 +44,22 @@
 	return &pool{address: address, limit: limit, dial: dial}
 }
 
-// get returns an idle connection or opens one; the second result tells whether it was opened now.
+// get returns an idle connection or opens one. The second result reports whether the connection is new.
 func (p *pool) get() (*connection, bool, error) {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		return nil, false, errors.New("the pool is closed")
+		return nil, false, errors.New("connection pool is closed")
 	}
-	if last := len(p.idle) - 1; last >= 0 {
-		c := p.idle[last]
-		p.idle = p.idle[:last]
+	if lastIndex := len(p.idle) - 1; lastIndex >= 0 {
+		c := p.idle[lastIndex]
+		p.idle = p.idle[:lastIndex]
 		p.mu.Unlock()
 		return c, false, nil
 	}
 	if p.open >= p.limit {
 		p.mu.Unlock()
-		return nil, false, errNoConnection
+		return nil, false, errPoolExhausted
 	}
 	p.open++
 	p.mu.Unlock()
@@ -68,14 +68,14 @@
 }
 
 func (p *pool) connect() (*connection, error) {
-	conn, err := p.dial(p.address, dialTimeout)
+	raw, err := p.dial(p.address, dialTimeout)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &connection{conn: conn, reader: bufio.NewReader(conn), writer: bufio.NewWriter(conn)}, nil
+	return &connection{raw: raw, reader: bufio.NewReader(raw), writer: bufio.NewWriter(raw)}, nil
 }
 
 func (p *pool) put(c *connection) {
@@ -90,14 +90,14 @@
 }
 
 func (p *pool) discard(c *connection) {
-	_ = c.conn.Close()
+	_ = c.raw.Close()
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// dropIdle closes the idle connections, which the leaf has most likely cut as well.
-func (p *pool) dropIdle() {
+// closeIdle closes the idle connections. After an error on one connection the leaf has most likely closed the others too.
+func (p *pool) closeIdle() {
 	p.mu.Lock()
 	idle := p.idle
 	p.idle = nil
@@ -107,8 +107,8 @@
 	}
 }
 
-// prepare opens connections until count of them are open, within the limit.
-func (p *pool) prepare(count int) error {
+// preconnect opens connections until count are open or the limit is reached.
+func (p *pool) preconnect(count int) error {
 	for {
 		p.mu.Lock()
 		if p.closed || p.open >= min(count, p.limit) {
@@ -130,9 +130,9 @@
 	p.limit = limit
 	var surplus []*connection
 	for p.open-len(surplus) > limit && len(p.idle) > 0 {
-		last := len(p.idle) - 1
-		surplus = append(surplus, p.idle[last])
-		p.idle = p.idle[:last]
+		lastIndex := len(p.idle) - 1
+		surplus = append(surplus, p.idle[lastIndex])
+		p.idle = p.idle[:lastIndex]
 	}
 	p.mu.Unlock()
 	for _, c := range surplus {
@@ -140,7 +140,7 @@
 	}
 }
 
-func (p *pool) count() int {
+func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
@@ -150,5 +150,5 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.dropIdle()
+	p.closeIdle()
 }
--- a/pkg/leaf/wire.go
+++ b/pkg/leaf/wire.go
@@ -1,6 +1,6 @@
-// The wire form towards a leaf is HTTP with JSON bodies:
+// The protocol between instances and leafs is HTTP with JSON bodies:
 //
-//	POST /search  {"id":"9f-1","service":"customs-desk-01","shard":0,"index":"agency","version":41,"remaining-us":48000,"query":"fig"}
+//	POST /search  {"id":"9f-1","service":"customs-desk-01","shard":0,"index":"agency","version":41,"remaining-us":48000,"text":"fig"}
 //	200           {"id":"9f-1","shard":0,"index":"agency","version":41,"hits":["a"],"start":"7","holdings":[...]}
 //	409 or 503    {"id":"9f-1","reason":"version-gone","started":false}
 //	POST /cancel  {"id":"9f-1"}
@@ -11,37 +11,37 @@
 import "encoding/json"
 
 const (
-	// PathSearch is the path of a request for one shard.
+	// PathSearch is the path of search requests for one shard.
 	PathSearch = "/search"
-	// PathCancel is the path of a cancellation.
+	// PathCancel is the path of cancellations.
 	PathCancel = "/cancel"
-	// PathHoldings is the path of the versions that a leaf holds.
+	// PathHoldings is the path that lists the index versions and shards of a leaf.
 	PathHoldings = "/holdings"
-	// HeaderFrom names the data centre of the asking instance.
-	HeaderFrom = "X-From-Data-Centre"
-	// ReasonVersionGone is the reason of a leaf that does not hold the version.
+	// HeaderDataCentre is the header with the data centre of the sending instance.
+	HeaderDataCentre = "X-From-Data-Centre"
+	// ReasonVersionGone means that the leaf does not hold the requested index version.
 	ReasonVersionGone = "version-gone"
-	// ReasonShed is the reason of a leaf that sheds load.
+	// ReasonShed means that the leaf is overloaded and sheds load.
 	ReasonShed = "shed"
-	// ReasonLeaving is the reason of a leaf that is shutting down.
+	// ReasonLeaving means that the leaf is shutting down.
 	ReasonLeaving = "leaving"
 )
 
 type (
-	// Request asks for one shard of one version.
+	// Request is a search request for one shard of one index version.
 	Request struct {
-		ID          string `json:"id"`
-		Query       string `json:"query-id"`
-		Service     string `json:"service"`
-		Shard       int    `json:"shard"`
-		Index       string `json:"index"`
-		Version     uint64 `json:"version"`
-		RemainingUs int64  `json:"remaining-us"`
-		Effect      bool   `json:"effect,omitempty"`
-		Text        string `json:"text"`
+		ID              string `json:"id"`
+		QueryID         string `json:"query-id"`
+		Service         string `json:"service"`
+		Shard           int    `json:"shard"`
+		Index           string `json:"index"`
+		Version         uint64 `json:"version"`
+		RemainingUs     int64  `json:"remaining-us"`
+		IsNonIdempotent bool   `json:"effect,omitempty"`
+		Text            string `json:"text"`
 	}
 
-	// Holding is one shard of one version.
+	// Holding is one shard of one index version that a leaf holds.
 	Holding struct {
 		Index   string `json:"index"`
 		Version uint64 `json:"version"`
@@ -49,14 +49,14 @@
 		Shards  int    `json:"shards"`
 	}
 
-	// Response is the answer of a leaf or its refusal.
+	// Response is the search result of a leaf, or the reason why there is none.
 	Response struct {
 		ID       string          `json:"id"`
 		Shard    int             `json:"shard"`
 		Index    string          `json:"index"`
 		Version  uint64          `json:"version"`
 		Hits     json.RawMessage `json:"hits,omitempty"`
-		Start    string          `json:"start"`
+		RunID    string          `json:"start"`
 		Holdings []Holding       `json:"holdings,omitempty"`
 		Reason   string          `json:"reason,omitempty"`
 		Started  bool            `json:"started,omitempty"`
--- a/pkg/owner/owned_leaf.go
+++ b/pkg/owner/owned_leaf.go
@@ -53,7 +53,7 @@
 	record := l.record
 	options := []leaf.Option{
 		leaf.WithDataCentre(l.owner.config.DataCentre),
-		leaf.WithGate(func() error { return l.owner.checkSendAllowed(record) }),
+		leaf.WithSendCheck(func() error { return l.owner.checkSendAllowed(record) }),
 	}
 	if l.owner.config.Dial != nil {
 		options = append(options, leaf.WithDial(l.owner.config.Dial))
@@ -88,7 +88,7 @@
 	}
 }
 
-func (l *ownedLeaf) applyRelease(released fellow.Released) {
+func (l *ownedLeaf) applyRelease(released fellow.ReleasedLeaf) {
 	l.mu.Lock()
 	l.fence.OnRelease(assigner.Release{
 		WasOpen: released.Open, RunningRequests: released.Running, RemainingRunTime: released.RunningUntil,
@@ -112,11 +112,11 @@
 	if release, ok := l.fence.Handover(); ok {
 		l.admission = admitter.New(l.slots(), now, admitter.WithGrowth(l.owner.config.Growth),
 			admitter.WithHandover(release.Limit, release.Latency, release.RunningRequests, now+release.RemainingRunTime))
-		l.client.SetConnections(max(1, l.connections()-release.RunningRequests))
+		l.client.SetMaxConnections(max(1, l.connections()-release.RunningRequests))
 	}
 	l.mu.Unlock()
 	l.owner.group.Go(func() {
-		_ = l.client.Prepare(min(l.connections(), l.slots()+spareConnections))
+		_ = l.client.Preconnect(min(l.connections(), l.slots()+spareConnections))
 		l.refreshHoldings()
 	})
 }
@@ -129,7 +129,7 @@
 	if row.Slots() > 0 {
 		l.row = row
 		l.admission.SetSlots(l.slots())
-		l.client.SetConnections(l.connections())
+		l.client.SetMaxConnections(l.connections())
 	}
 	if hasMoved {
 		l.client.Close()
@@ -206,7 +206,7 @@
 	if err != nil {
 		return
 	}
-	restarted := l.hasRestarted(response.Start)
+	restarted := l.hasRestarted(response.RunID)
 	l.mu.Lock()
 	l.updateFrom(response)
 	if restarted {
@@ -272,12 +272,12 @@
 }
 
 // prepareRelease stops sending to the leaf and returns the state that the next owner needs.
-func (l *ownedLeaf) prepareRelease() fellow.Released {
+func (l *ownedLeaf) prepareRelease() fellow.ReleasedLeaf {
 	now := l.owner.config.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	condition := l.admission.Condition(now)
-	released := fellow.Released{
+	released := fellow.ReleasedLeaf{
 		Leaf: string(l.record.ID), Open: l.hasOpened && !l.hasEnded, Running: condition.Running,
 		RunningUntil: l.admission.RemainingRunTime(now), Limit: condition.Limit, Latency: condition.Latency,
 	}
--- a/pkg/owner/owned_leaf_exchange.go
+++ b/pkg/owner/owned_leaf_exchange.go
@@ -18,14 +18,14 @@
 	now := l.owner.config.Now()
 	remaining := pending.deadline - now
 	leafRequest := leaf.Request{
-		ID: pending.leafRequestID, Query: pending.request.Query, Service: pending.request.Service, Shard: pending.request.Shard,
+		ID: pending.leafRequestID, QueryID: pending.request.Query, Service: pending.request.Service, Shard: pending.request.Shard,
 		Index: pending.request.Index, Version: pending.request.Version, RemainingUs: remaining.Microseconds(),
-		Effect: pending.request.Effect, Text: pending.request.Text,
+		IsNonIdempotent: pending.request.Effect, Text: pending.request.Text,
 	}
 	l.owner.sentCount.Inc()
 	exchange, err := client.Search(leafRequest, max(remaining, 0)+responseMargin)
 	reply, outcome := l.classify(exchange, err)
-	reply.Queue, reply.Connect, reply.LeafTime = queueTime, exchange.Connect(), exchange.Leaf()
+	reply.Queue, reply.Connect, reply.LeafTime = queueTime, exchange.ConnectTime(), exchange.ResponseTime()
 	now = l.owner.config.Now()
 	l.mu.Lock()
 	l.admission.Done(pending.admissionID, outcome, now)
@@ -49,9 +49,9 @@
 	reply := fellow.Reply{Index: response.Index, Version: response.Version, Shard: response.Shard, Reason: response.Reason}
 	switch {
 	case exchange.OK():
-		reply.Kind = fellow.KindHit
+		reply.Kind = fellow.KindSuccess
 		reply.Body = response.Hits
-		if l.hasRestarted(response.Start) {
+		if l.hasRestarted(response.RunID) {
 			return reply, admitter.Restarted{}
 		}
 		return reply, admitter.Answered{}
@@ -63,17 +63,17 @@
 		}
 		return reply, admitter.Shed{}
 	}
-	reply.Kind = fellow.KindUnknown
+	reply.Kind = fellow.KindUnknownOutcome
 	return reply, admitter.Cancelled{}
 }
 
 func classifyError(err error) (fellow.Reply, admitter.Outcome) {
-	reply := fellow.Reply{Kind: fellow.KindUnknown, Reason: err.Error(), Faulty: true}
+	reply := fellow.Reply{Kind: fellow.KindUnknownOutcome, Reason: err.Error(), Faulty: true}
 	var leafError *leaf.Error
 	if !errors.As(err, &leafError) {
 		return reply, admitter.ConnectionFailed{}
 	}
-	if leafError.Step() == leaf.StepGate {
+	if leafError.Step() == leaf.StepSendCheck {
 		return fellow.Reply{Kind: fellow.KindNotRun, Reason: leafError.Unwrap().Error()}, admitter.Cancelled{}
 	}
 	if leafError.NotSent() {
@@ -98,11 +98,11 @@
 
 // updateFrom records the process start and the holdings stated in a response; l.mu must be held.
 func (l *ownedLeaf) updateFrom(response leaf.Response) {
-	if response.Start != "" {
-		if l.startID != "" && l.startID != response.Start {
+	if response.RunID != "" {
+		if l.startID != "" && l.startID != response.RunID {
 			l.owner.config.RecordEvent("leaf-restarted", string(l.record.ID), "the leaf started again")
 		}
-		l.startID = response.Start
+		l.startID = response.RunID
 	}
 	if len(response.Holdings) == 0 {
 		return
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -25,7 +25,7 @@
 	SendReply func(to tabulator.MemberID, address string, reply fellow.Reply)
 
 	// RequestRelease asks the previous owner to release a leaf, and returns false if that owner could not be reached.
-	RequestRelease func(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.Released, bool)
+	RequestRelease func(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.ReleasedLeaf, bool)
 
 	// RecordEvent adds an event to the timeline of the instance.
 	RecordEvent func(kind, peer, text string)
@@ -77,7 +77,7 @@
 
 	// unclaimedRelease is the state of a leaf that this instance no longer owns and that the next owner has not yet requested.
 	unclaimedRelease struct {
-		released fellow.Released
+		released fellow.ReleasedLeaf
 		endedAt  time.Duration
 	}
 
@@ -85,7 +85,7 @@
 	pendingRequest struct {
 		key          requestKey
 		replyAddress string
-		request      fellow.Ask
+		request      fellow.Request
 		leaf         *ownedLeaf
 		admissionID  uint64
 		deadline     time.Duration
@@ -147,7 +147,7 @@
 }
 
 // OnRequests processes requests of an instance, which may be this one, and replies to address.
-func (o *Owner) OnRequests(from tabulator.MemberID, address string, requests []fellow.Ask) {
+func (o *Owner) OnRequests(from tabulator.MemberID, address string, requests []fellow.Request) {
 	for _, request := range requests {
 		o.onRequest(from, address, request)
 	}
@@ -181,8 +181,8 @@
 }
 
 // Release ends the ownership of the requested leafs and returns the state of each for the next owner.
-func (o *Owner) Release(query fellow.ReleaseQuery) []fellow.Released {
-	released := make([]fellow.Released, 0, len(query.Leafs))
+func (o *Owner) Release(query fellow.ReleaseQuery) []fellow.ReleasedLeaf {
+	released := make([]fellow.ReleasedLeaf, 0, len(query.Leafs))
 	for _, id := range query.Leafs {
 		released = append(released, o.release(assigner.LeafID(id), query))
 	}
@@ -238,7 +238,7 @@
 	return o.ownedLeafs[id]
 }
 
-func (o *Owner) onRequest(from tabulator.MemberID, address string, request fellow.Ask) {
+func (o *Owner) onRequest(from tabulator.MemberID, address string, request fellow.Request) {
 	now := o.config.Now()
 	pending := &pendingRequest{
 		key: requestKey{from: from, id: request.ID}, replyAddress: address, request: request,
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -54,7 +54,7 @@
 	running       int
 	serviceTime   time.Duration
 	replies       []fellow.Reply
-	release       fellow.Released
+	release       fellow.ReleasedLeaf
 	isReached     bool
 }
 
@@ -75,7 +75,7 @@
 			h.replies = append(h.replies, reply)
 			h.mu.Unlock()
 		},
-		RequestRelease: func(tabulator.Member, uint64, assigner.LeafID) (fellow.Released, bool) {
+		RequestRelease: func(tabulator.Member, uint64, assigner.LeafID) (fellow.ReleasedLeaf, bool) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return h.release, h.isReached
@@ -96,7 +96,7 @@
 func (h *harness) handle(ctx *fasthttp.RequestCtx) {
 	var request leaf.Request
 	_ = json.Unmarshal(ctx.PostBody(), &request)
-	response := leaf.Response{ID: request.ID, Index: request.Index, Version: request.Version, Shard: request.Shard, Start: "1"}
+	response := leaf.Response{ID: request.ID, Index: request.Index, Version: request.Version, Shard: request.Shard, RunID: "1"}
 	switch string(ctx.Path()) {
 	case leaf.PathCancel:
 		h.mu.Lock()
@@ -135,7 +135,7 @@
 }
 
 func (h *harness) sendRequest(id uint64, remaining time.Duration) {
-	h.owner.OnRequests(requester, "", []fellow.Ask{{ID: id, Leaf: "leaf", Service: "s", RemainingUs: remaining.Microseconds(), Caller: "c", Priority: 1}})
+	h.owner.OnRequests(requester, "", []fellow.Request{{ID: id, Leaf: "leaf", Service: "s", RemainingUs: remaining.Microseconds(), Caller: "c", Priority: 1}})
 }
 
 func (h *harness) replyCounts() map[string]int {
@@ -144,7 +144,7 @@
 	counts := map[string]int{}
 	for _, reply := range h.replies {
 		key := reply.Reason
-		if reply.Kind == fellow.KindHit {
+		if reply.Kind == fellow.KindSuccess {
 			key = "hit"
 		}
 		counts[key]++
@@ -165,7 +165,7 @@
 	h.mu.Unlock()
 }
 
-func (h *harness) setRelease(release fellow.Released) {
+func (h *harness) setRelease(release fellow.ReleasedLeaf) {
 	h.mu.Lock()
 	h.release, h.isReached = release, true
 	h.mu.Unlock()
@@ -209,7 +209,7 @@
 		h := newHarness(t)
 		defer h.close()
 		h.apply(t, tabulator.Remove{Instance: "e1", Incarnation: 1, Reason: tabulator.RemovedExpired})
-		h.setRelease(fellow.Released{Open: true, Running: 1, RunningUntil: time.Second, Limit: 2, Latency: 5 * time.Millisecond})
+		h.setRelease(fellow.ReleasedLeaf{Open: true, Running: 1, RunningUntil: time.Second, Limit: 2, Latency: 5 * time.Millisecond})
 		h.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e1", Incarnation: 1, DataCentre: "d", Via: "again"}})
 		time.Sleep(50 * time.Millisecond)
 		for id := range uint64(6) {
@@ -232,8 +232,8 @@
 		{"no lease", func(_ *testing.T, h *harness) { h.setLease(false) }, fellow.ReasonNoLease},
 		{"data centre out of service", func(t *testing.T, h *harness) {
 			h.apply(t, tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
-		}, fellow.ReasonTakenOut},
-		{"leaf draining", func(_ *testing.T, h *harness) { h.setLeaf(true) }, fellow.ReasonTakenOut},
+		}, fellow.ReasonOutOfService},
+		{"leaf draining", func(_ *testing.T, h *harness) { h.setLeaf(true) }, fellow.ReasonOutOfService},
 		{"leaf removed from the list", func(_ *testing.T, h *harness) { h.owner.OnLeafList(nil) }, fellow.ReasonNotOwner},
 		{"leaf released", func(_ *testing.T, h *harness) {
 			h.owner.Release(fellow.ReleaseQuery{From: requester, Epoch: h.view.Epoch(), Leafs: []string{"leaf"}})
--- a/pkg/owner/ownership.go
+++ b/pkg/owner/ownership.go
@@ -64,7 +64,7 @@
 	o.group.Go(func() { owned.requestRelease(previousOwner, ok, epoch) })
 }
 
-func (o *Owner) release(id assigner.LeafID, query fellow.ReleaseQuery) fellow.Released {
+func (o *Owner) release(id assigner.LeafID, query fellow.ReleaseQuery) fellow.ReleasedLeaf {
 	o.mu.Lock()
 	owned := o.ownedLeafs[id]
 	unclaimed, isUnclaimed := o.unclaimedReleases[id]
@@ -82,11 +82,11 @@
 		o.config.RecordEvent("leaf-released", string(id), "handed over to "+query.From.String())
 		return unclaimed.releaseAt(o.config.Now())
 	}
-	return fellow.Released{Leaf: string(id)}
+	return fellow.ReleasedLeaf{Leaf: string(id)}
 }
 
 // releaseAt returns the release with its remaining run time reduced by the time that has passed since the ownership ended.
-func (u unclaimedRelease) releaseAt(now time.Duration) fellow.Released {
+func (u unclaimedRelease) releaseAt(now time.Duration) fellow.ReleasedLeaf {
 	released := u.released
 	released.RunningUntil = max(0, released.RunningUntil-(now-u.endedAt))
 	return released
@@ -102,7 +102,7 @@
 	_, isAllowed := o.view.AcceptsRequests(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
 	current, isListed := o.records[record.ID]
 	if !isAllowed || !isListed || current.IsDraining {
-		return errors.New(fellow.ReasonTakenOut)
+		return errors.New(fellow.ReasonOutOfService)
 	}
 	return nil
 }
--- a/pkg/runner/handler.go
+++ b/pkg/runner/handler.go
@@ -12,8 +12,8 @@
 	"lovagedeck/pkg/tracer"
 )
 
-// OnAsks takes requests for leafs of this instance.
-func (i *Instance) OnAsks(from tabulator.MemberID, address string, asks []fellow.Ask) {
+// OnRequests takes requests for leafs of this instance.
+func (i *Instance) OnRequests(from tabulator.MemberID, address string, asks []fellow.Request) {
 	i.owner.OnRequests(from, address, asks)
 }
 
@@ -31,7 +31,7 @@
 }
 
 // Release gives up leafs for another owner.
-func (i *Instance) Release(query fellow.ReleaseQuery) []fellow.Released {
+func (i *Instance) Release(query fellow.ReleaseQuery) []fellow.ReleasedLeaf {
 	return i.owner.Release(query)
 }
 
--- a/pkg/runner/mailbox.go
+++ b/pkg/runner/mailbox.go
@@ -15,7 +15,7 @@
 	handler fellow.Handler
 	mu      sync.Mutex
 	wake    *sync.Cond
-	asks    []fellow.Ask
+	asks    []fellow.Request
 	cancels []uint64
 	replies []fellow.Reply
 	closed  bool
@@ -29,7 +29,7 @@
 	return m
 }
 
-func (m *mailbox) ask(ask fellow.Ask) { m.add(func() { m.asks = append(m.asks, ask) }) }
+func (m *mailbox) ask(ask fellow.Request) { m.add(func() { m.asks = append(m.asks, ask) }) }
 
 func (m *mailbox) cancel(id uint64) { m.add(func() { m.cancels = append(m.cancels, id) }) }
 
@@ -66,7 +66,7 @@
 			m.handler.OnCancels(m.self, cancels)
 		}
 		if len(asks) > 0 {
-			m.handler.OnAsks(m.self, "", asks)
+			m.handler.OnRequests(m.self, "", asks)
 		}
 	}
 }
--- a/pkg/runner/transport.go
+++ b/pkg/runner/transport.go
@@ -22,7 +22,7 @@
 	self    tabulator.MemberID
 	address string
 	local   *mailbox
-	lost    fellow.Lost
+	lost    fellow.UndeliveredFunc
 	mu      sync.Mutex
 	links   map[tabulator.MemberID]*fellow.Link
 	closed  bool
@@ -33,12 +33,12 @@
 }
 
 // Ask sends a request to the owner of a leaf.
-func (t *transport) Ask(owner tabulator.Member, ask fellow.Ask) {
+func (t *transport) Ask(owner tabulator.Member, ask fellow.Request) {
 	if owner.ID() == t.self {
 		t.local.ask(ask)
 		return
 	}
-	t.toMember(owner).Ask(ask)
+	t.toMember(owner).QueueRequest(ask)
 }
 
 // Cancel gives up a request.
@@ -51,7 +51,7 @@
 	link := t.links[owner]
 	t.mu.Unlock()
 	if link != nil {
-		link.Cancel(id)
+		link.QueueCancel(id)
 	}
 }
 
@@ -61,7 +61,7 @@
 		t.local.reply(reply)
 		return
 	}
-	t.link(to, address).Reply(reply)
+	t.link(to, address).QueueReply(reply)
 }
 
 // IsUnresponsive tells whether an instance has not taken what was last sent to it.
@@ -69,7 +69,7 @@
 	t.mu.Lock()
 	link := t.links[owner]
 	t.mu.Unlock()
-	return link != nil && link.Silent()
+	return link != nil && link.IsUnresponsive()
 }
 
 // IsCutOff tells whether most of the fellows that this instance talks to are silent.
@@ -82,7 +82,7 @@
 	t.mu.Unlock()
 	silent := 0
 	for _, link := range links {
-		if link.Silent() {
+		if link.IsUnresponsive() {
 			silent++
 		}
 	}
@@ -100,11 +100,11 @@
 }
 
 // AskRelease asks a former owner to give up a leaf.
-func (t *transport) AskRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.Released, bool) {
+func (t *transport) AskRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.ReleasedLeaf, bool) {
 	query := fellow.ReleaseQuery{From: t.self, To: from.ID(), Epoch: epoch, Leafs: []string{string(id)}}
 	var reply fellow.ReleaseReply
 	if err := t.toMember(from).Call("Release", query, &reply); err != nil || len(reply.Leafs) == 0 {
-		return fellow.Released{}, false
+		return fellow.ReleasedLeaf{}, false
 	}
 	return reply.Leafs[0], true
 }
@@ -113,7 +113,7 @@
 func (t *transport) RunTicket(to tabulator.Member, ticket string, request []byte) ([]byte, error) {
 	var reply fellow.TicketReply
 	query := fellow.TicketQuery{To: to.ID(), Ticket: ticket, Request: request}
-	if err := t.toMember(to).CallFor(ticketTimeout, "RunTicket", query, &reply); err != nil {
+	if err := t.toMember(to).CallWithTimeout(ticketTimeout, "RunTicket", query, &reply); err != nil {
 		return nil, errors.Wrap(err, "pass the ticket on")
 	}
 	return reply.Answer, nil
@@ -156,7 +156,7 @@
 	if link := t.links[to]; link != nil {
 		return link
 	}
-	link := fellow.NewReturnLink(t.linker, t.self, t.address, to, address, t.lost)
+	link := fellow.NewReplyLink(t.linker, t.self, t.address, to, address, t.lost)
 	if t.closed {
 		go link.Close()
 		return link
