--- a/pkg/acceptor/acceptor.go
+++ b/pkg/acceptor/acceptor.go
@@ -10,40 +10,41 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Acceptor serves one application.
+// Acceptor serves one fiber application.
 type Acceptor struct {
-	app   *fiber.App
-	tls   *tls.Config
-	group conc.WaitGroup
+	app       *fiber.App
+	tlsConfig *tls.Config
+	group     conc.WaitGroup
 }
 
-// New returns an acceptor for app; a nil config leaves connections plain.
-func New(app *fiber.App, config *tls.Config) *Acceptor {
-	return &Acceptor{app: app, tls: config}
+// New returns an acceptor for app. It serves HTTP without TLS if tlsConfig is nil.
+func New(app *fiber.App, tlsConfig *tls.Config) *Acceptor {
+	return &Acceptor{app: app, tlsConfig: tlsConfig}
 }
 
-// Serve answers on listener until Close.
+// Serve starts serving connections of listener in the background, until Close is called.
 func (a *Acceptor) Serve(listener net.Listener) {
-	if a.tls != nil {
-		listener = tls.NewListener(listener, a.tls)
+	if a.tlsConfig != nil {
+		listener = tls.NewListener(listener, a.tlsConfig)
 	}
 	a.group.Go(func() {
 		_ = a.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 	})
 }
 
-// Close answers what is under way, for at most timeout, and stops.
+// Close stops accepting connections and waits until the requests in progress have ended or the timeout has passed. It returns an
+// error if the server did not shut down cleanly.
 func (a *Acceptor) Close(timeout time.Duration) error {
 	err := a.app.ShutdownWithTimeout(timeout)
 	a.group.Wait()
-	return errors.Wrap(err, "close the HTTP server")
+	return errors.Wrap(err, "shut down the HTTP server")
 }
 
-// StatusOf returns the HTTP status of an error that a handler returned.
+// StatusOf returns the HTTP status code for an error that a handler returned: 500 unless it is a *fiber.Error.
 func StatusOf(err error) int {
-	var known *fiber.Error
-	if errors.As(err, &known) {
-		return known.Code
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		return fiberErr.Code
 	}
 	return fiber.StatusInternalServerError
 }
--- a/pkg/acceptor/doc.go
+++ b/pkg/acceptor/doc.go
@@ -1,2 +1,2 @@
-// Package acceptor serves a fiber application on a listener until it is closed.
+// Package acceptor serves a fiber application over HTTP or HTTPS and shuts it down gracefully.
 package acceptor
--- a/pkg/steward/control.go
+++ b/pkg/steward/control.go
@@ -1,6 +1,3 @@
-// A control instance keeps the replicated log, reads the list of leafs while
-// it leads, and takes the orders of operators.
-
 package steward
 
 import (
@@ -27,67 +24,71 @@
 )
 
 const (
-	// foundingWait is how long the first seed asks the others whether a log exists before it begins one.
-	foundingWait = 500 * time.Millisecond
-	foundingPoll = 100 * time.Millisecond
-	// renewal is the pause between the renewals of entry instances; with the wait for a follower it keeps a change well within three seconds.
-	renewal = 400 * time.Millisecond
-	// listShare is the part of the permitted calls that the reading of the list takes.
-	listShare = 0.5
-	// standingInterval is how often an instance looks whether it leads.
-	standingInterval = 30 * time.Millisecond
-	// probeInterval is the pause between tries to write after the disk refused.
-	probeInterval = 300 * time.Millisecond
-	probeBytes    = 64 << 10
-	logFolder     = "log"
-	probeFile     = "probe"
+	// bootstrapTimeout is the time within which the first seed looks for an existing log on the other seeds before it creates one.
+	bootstrapTimeout      = 500 * time.Millisecond
+	bootstrapPollInterval = 100 * time.Millisecond
+	// renewalInterval is the pause between the lease renewals of an entry instance. Together with the wait for a follower, it
+	// brings a change to every entry instance well within 3 s.
+	renewalInterval = 400 * time.Millisecond
+	// listRateShare is the share of the permitted call rate that fetching the list of leafs may use.
+	listRateShare = 0.5
+	// leaderPollInterval is the interval at which an instance checks whether it is the leader.
+	leaderPollInterval = 30 * time.Millisecond
+	// diskProbeInterval is the pause between test writes after a failed write to the disk.
+	diskProbeInterval = 300 * time.Millisecond
+	diskProbeBytes    = 64 << 10
+	logFolder         = "log"
+	diskProbeFile     = "probe"
 )
 
-// ErrUnsure says that no majority confirmed what this instance knows.
-var ErrUnsure = errors.New("no majority of the control instances confirmed the answer")
+// ErrUnconfirmed is returned if no majority of the control instances confirmed that this instance has the newest data.
+var ErrUnconfirmed = errors.New("no majority of the control instances confirmed the answer")
 
 type (
-	// List reads the list of leafs of a data centre, or of all where it is empty, and counts the calls that it took.
-	List func(dataCentre string) (leafs []lister.RosterLeaf, calls int, err error)
+	// ListFunc fetches the list of leafs of one data centre, or of all if the name is empty, and returns the number of calls
+	// that this took, also after an error.
+	ListFunc func(dataCentre string) (leafs []lister.RosterLeaf, calls int, err error)
 
-	// Control is one control instance.
+	// Control is a control instance. It holds a replica of the log and serves operators' calls. While it is the leader, it also
+	// fetches the list of leafs.
 	Control struct {
-		settings Settings
-		log      logr.Logger
-		linker   *linker.Linker
-		journal  *journaler.Journaler
-		server   *controller.Server
-		links    *linker.Server
-		board    *lister.RosterStore
-		list     List
-		stop     chan struct{}
-		ended    chan error
-		began    time.Time
-		listBad  bool
-		// seeds holds the newest settings, for their seeds.
-		seeds atomic.Pointer[Settings]
+		settings        Settings
+		log             logr.Logger
+		linker          *linker.Linker
+		journal         *journaler.Journaler
+		server          *controller.Server
+		rpcServer       *linker.Server
+		rosterStore     *lister.RosterStore
+		listLeafs       ListFunc
+		stop            chan struct{}
+		restartRequired chan error
+		startedAt       time.Time
+		isListFailing   bool
+		// latestSettings holds the settings of the last reload. Only their seeds are used.
+		latestSettings atomic.Pointer[Settings]
 	}
 )
 
-// NewControl starts a control instance; Close ends it.
-func NewControl(settings Settings, list List, log logr.Logger) (*Control, error) {
+// NewControl starts a control instance, which runs until Close. It returns an error if the data folder cannot be opened or the
+// address for calls of other instances is not available.
+func NewControl(settings Settings, listLeafs ListFunc, log logr.Logger) (*Control, error) {
 	c := &Control{
-		settings: settings, log: log, list: list, stop: make(chan struct{}), ended: make(chan error, 1), began: time.Now(),
+		settings: settings, log: log, listLeafs: listLeafs, stop: make(chan struct{}), restartRequired: make(chan error, 1), startedAt: time.Now(),
 		linker: linker.New(linker.NewSecret(settings.Cluster, nil)),
 	}
-	c.seeds.Store(&settings)
-	c.board = lister.NewRosterStore(c.now)
-	saved, err := c.openFolder()
+	c.latestSettings.Store(&settings)
+	c.rosterStore = lister.NewRosterStore(c.now)
+	saved, err := c.openDataFolder()
 	if err != nil {
 		return nil, err
 	}
 	node := c.journal.Identity().Node()
 	config := controller.ServerConfig{
-		Instance: settings.linkAddress(settings.Host), Node: node, Linker: c.linker, Store: c.journal, Saved: saved,
+		Instance: settings.peerAddress(settings.Host), Node: node, Linker: c.linker, Store: c.journal, Saved: saved,
 		Now: c.now, Random: rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), xxhash.Sum64String(settings.Instance))),
-		Timeline: timeliner.New(settings.Instance, time.Now), Board: c.board, RenewalInterval: renewal,
-		Discovery: &controller.Discovery{Seeds: func() []string { return c.seeds.Load().seeds() }, ExpectedVoters: 2*settings.ToleratedLosses + 1},
-		OnEvent:   c.note,
+		Timeline: timeliner.New(settings.Instance, time.Now), Board: c.rosterStore, RenewalInterval: renewalInterval,
+		Discovery: &controller.Discovery{Seeds: func() []string { return c.latestSettings.Load().seedAddresses() }, ExpectedVoters: 2*settings.ToleratedDiskLosses + 1},
+		OnEvent:   c.logEvent,
 	}
 	if c.journal.Identity().Disk == journaler.BootstrapDisk {
 		config.InitialVoters = []replicator.NodeID{node}
@@ -95,11 +96,11 @@
 	if c.server, err = controller.NewServer(config); err != nil {
 		return nil, err
 	}
-	listener, err := net.Listen("tcp", settings.listenAddress())
+	listener, err := net.Listen("tcp", settings.peerListenAddress())
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for other instances")
 	}
-	if c.links, err = c.linker.Serve(listener, map[string]any{"Control": controller.NewService(c.server)}); err != nil {
+	if c.rpcServer, err = c.linker.Serve(listener, map[string]any{"Control": controller.NewService(c.server)}); err != nil {
 		return nil, err
 	}
 	c.server.Run()
@@ -108,96 +109,102 @@
 	return c, nil
 }
 
-// Ended delivers the error after which the process should start again.
-func (c *Control) Ended() <-chan error { return c.ended }
+// RestartRequired returns a channel that receives an error when the process must be restarted.
+func (c *Control) RestartRequired() <-chan error { return c.restartRequired }
 
-// Close ends the instance.
+// Close stops the instance.
 func (c *Control) Close() {
 	close(c.stop)
 	c.server.Close()
-	c.links.Close()
+	c.rpcServer.Close()
 	if err := c.journal.Close(); err != nil {
 		c.log.Error(err, "steward: the data folder was not closed cleanly")
 	}
 }
 
-// PutDocument puts a routing document that was checked into the log and waits until it is applied.
+// PutDocument appends a valid routing document to the replicated log and waits until it is applied. It returns an error if the
+// document was rejected or the outcome is unknown.
 func (c *Control) PutDocument(version uint64, body []byte) error {
-	packed, err := compress(body)
+	compressed, err := compress(body)
 	if err != nil {
 		return err
 	}
-	return c.propose(tabulator.PutDocument{Version: version, Body: packed})
+	return c.propose(tabulator.PutDocument{Version: version, Body: compressed})
 }
 
-// Document returns the newest routing document, or ErrUnsure.
+// Document returns the newest routing document, or version 0 if there is none. It returns ErrUnconfirmed if no majority of the
+// control instances confirmed that the document is the newest.
 func (c *Control) Document() (version uint64, body []byte, err error) {
-	document, fresh := c.server.Document()
-	if !fresh {
-		return 0, nil, ErrUnsure
+	document, isConfirmed := c.server.Document()
+	if !isConfirmed {
+		return 0, nil, ErrUnconfirmed
 	}
 	if document.Version == 0 {
 		return 0, nil, nil
 	}
-	body, err = expand(document.Body)
+	body, err = decompress(document.Body)
 	return document.Version, body, err
 }
 
-// TakeOut ends new work in a data centre.
-func (c *Control) TakeOut(dataCentre string) error {
+// TakeOutOfService stops new requests from being sent to leafs in a data centre. It returns an error if the change was rejected
+// or its outcome is unknown.
+func (c *Control) TakeOutOfService(dataCentre string) error {
 	return c.propose(tabulator.SetDataCentre{Name: dataCentre, State: tabulator.StateOut, Unconditional: true})
 }
 
-// TakeIn lets a data centre take new work again.
-func (c *Control) TakeIn(dataCentre string) error {
+// ReturnToService allows new requests to leafs in a data centre again. It returns an error if the change was rejected or its
+// outcome is unknown.
+func (c *Control) ReturnToService(dataCentre string) error {
 	return c.propose(tabulator.SetDataCentre{Name: dataCentre, State: tabulator.StateIn, Unconditional: true})
 }
 
-// Reload takes settings that changed.
+// Reload applies the seeds of changed settings. Other settings take effect after a restart.
 func (c *Control) Reload(settings Settings) {
-	c.seeds.Store(&settings)
-	c.log.Info("steward: settings reloaded", "seeds", settings.seeds())
+	c.latestSettings.Store(&settings)
+	c.log.Info("steward: settings reloaded", "seeds", settings.seedAddresses())
 }
 
+// propose submits a command of an operator and logs its result.
 func (c *Control) propose(command tabulator.Command) error {
-	begun := c.now()
-	err := c.outcome(command)
-	c.log.Info("steward: order", "what", describe(command), "acknowledged", err == nil, "error", fmt.Sprint(err),
-		"took-ms", (c.now() - begun).Milliseconds())
+	startedAt := c.now()
+	err := c.submit(command)
+	c.log.Info("steward: order", "what", describeCommand(command), "acknowledged", err == nil, "error", fmt.Sprint(err),
+		"took-ms", (c.now() - startedAt).Milliseconds())
 	return err
 }
 
-func describe(command tabulator.Command) string {
-	switch order := command.(type) {
+func describeCommand(command tabulator.Command) string {
+	switch typed := command.(type) {
 	case tabulator.PutDocument:
-		return fmt.Sprintf("routing document %d", order.Version)
+		return fmt.Sprintf("routing document %d", typed.Version)
 	case tabulator.SetDataCentre:
-		return fmt.Sprintf("data centre %s %s", order.Name, order.State)
+		return fmt.Sprintf("data centre %s %s", typed.Name, typed.State)
 	}
 	return fmt.Sprintf("%T", command)
 }
 
-func (c *Control) outcome(command tabulator.Command) error {
+// submit proposes a command to the replicated log and returns an error unless it was accepted.
+func (c *Control) submit(command tabulator.Command) error {
 	reply := c.server.Propose(command)
 	switch {
 	case reply.Refused != "":
 		return errors.New(reply.Refused)
 	case reply.Unknown:
-		return errors.New("the outcome is not known")
+		return errors.New("the outcome of the command is unknown")
 	case reply.Result.Verdict != tabulator.VerdictAccepted:
 		return errors.Errorf("%s: %v", reply.Result.Verdict, reply.Result.Faults)
 	}
 	return nil
 }
 
-func (c *Control) now() time.Duration { return time.Since(c.began) }
+func (c *Control) now() time.Duration { return time.Since(c.startedAt) }
 
-// openFolder continues the log of the data folder, or makes the folder of a new disk.
-func (c *Control) openFolder() (replicator.PersistentState, error) {
+// openDataFolder opens the log in the data folder, after formatting the folder if it has no valid identity.
+func (c *Control) openDataFolder() (replicator.PersistentState, error) {
 	folder := filepath.Join(c.settings.DataFolder, logFolder)
-	instance := c.settings.linkAddress(c.settings.Host)
+	instance := c.settings.peerAddress(c.settings.Host)
 	if _, err := journaler.ReadIdentity(folder); err != nil {
-		if err := c.formatFolder(folder, instance, err); err != nil {
+		if err := c.formatDataFolder(folder, instance, err); err != nil {
 			return replicator.PersistentState{}, err
 		}
 	}
@@ -206,29 +213,31 @@
 	return saved, err
 }
 
-// formatFolder makes a new disk. A folder without an identity never took part in the log, so nothing in it counts.
-func (c *Control) formatFolder(folder, instance string, cause error) error {
-	var missing *journaler.FolderError
-	if !errors.As(cause, &missing) {
+// formatDataFolder clears and formats a folder whose identity is missing or invalid, as reported by cause. A folder without an
+// identity never held a replica of the log, so its files are of no use. Any other cause is returned as it is.
+func (c *Control) formatDataFolder(folder, instance string, cause error) error {
+	var folderErr *journaler.FolderError
+	if !errors.As(cause, &folderErr) {
 		return cause
 	}
 	if err := os.RemoveAll(folder); err != nil {
 		return errors.Wrap(err, "clear the data folder")
 	}
-	first := c.settings.foundsCluster() && !c.logExists()
-	identity, err := journaler.Format(folder, c.settings.Cluster, instance, first)
+	isFirst := c.settings.bootstrapsCluster() && !c.otherInstanceHoldsLog()
+	identity, err := journaler.Format(folder, c.settings.Cluster, instance, isFirst)
 	if err != nil {
 		return err
 	}
-	c.log.Info("steward: new disk", "node", string(identity.Node()), "founds", first, "cause", cause.Error())
+	c.log.Info("steward: data folder formatted for a new disk", "node", string(identity.Node()), "founds", isFirst, "cause", cause.Error())
 	return nil
 }
 
-// logExists tells whether another control instance that can be reached already holds a log.
-func (c *Control) logExists() bool {
+// otherInstanceHoldsLog reports whether another seed holds a log. It asks until all of them have answered or bootstrapTimeout has
+// passed since the start.
+func (c *Control) otherInstanceHoldsLog() bool {
 	others := make([]string, 0, len(c.settings.SeedHosts))
-	for _, address := range c.settings.seeds() {
-		if address != c.settings.linkAddress(c.settings.Host) {
+	for _, address := range c.settings.seedAddresses() {
+		if address != c.settings.peerAddress(c.settings.Host) {
 			others = append(others, address)
 		}
 	}
@@ -237,7 +246,7 @@
 		Timeline: timeliner.New(c.settings.Instance, time.Now),
 	})
 	defer client.Close()
-	for c.now() < foundingWait {
+	for c.now() < bootstrapTimeout {
 		statuses := client.Statuses()
 		for _, status := range statuses {
 			if status.Status.LastIndex > 0 {
@@ -247,121 +256,125 @@
 		if len(statuses) == len(others) {
 			return false
 		}
-		time.Sleep(foundingPoll)
+		time.Sleep(bootstrapPollInterval)
 	}
 	return false
 }
 
-// listLoop reads the list of leafs while this instance leads, for the first time as soon as it does.
+// listLoop fetches the list of leafs while this instance is the leader, for the first time right after its election.
 func (c *Control) listLoop() {
-	var readIn uint64
+	var lastTerm uint64
 	var nextAt time.Duration
 	for {
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(standingInterval):
+		case <-time.After(leaderPollInterval):
 		}
-		term, leads := c.server.LeaderTerm()
-		if !leads || term == readIn && c.now() < nextAt {
+		term, isLeader := c.server.LeaderTerm()
+		if !isLeader || term == lastTerm && c.now() < nextAt {
 			continue
 		}
-		read := c.list
-		if term != readIn {
-			read = c.listByDataCentre
+		list := c.listLeafs
+		if term != lastTerm {
+			list = c.listByDataCentre
 		}
-		readIn = term
+		lastTerm = term
 		nextAt = c.now()
-		nextAt += max(c.settings.listInterval(), paced(c.readList(term, read), c.settings.ListRate))
+		nextAt += max(c.settings.listInterval(), minListInterval(c.refreshRoster(term, list), c.settings.ListCallsPerSecond))
 	}
 }
 
-// paced returns the time that a number of calls takes at our share of the permitted rate.
-func paced(calls int, rate float64) time.Duration {
-	if rate <= 0 {
+// minListInterval returns the time that a number of calls takes at listRateShare of the permitted rate, or 0 without a rate limit.
+func minListInterval(calls int, callsPerSecond float64) time.Duration {
+	if callsPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(calls) / (listShare * rate) * float64(time.Second))
+	return time.Duration(float64(calls) / (listRateShare * callsPerSecond) * float64(time.Second))
 }
 
-// listByDataCentre reads the lists of all data centres at once: after a loss of all instances nobody is served until the
-// list is there. Leafs elsewhere come with the next reading.
+// listByDataCentre fetches the lists of all known data centres concurrently. This saves time after a failure of all instances,
+// when no caller is served until the list is known. Leafs in other data centres are added by the next complete fetch. If the fetch
+// for one data centre fails, or all lists are empty, it fetches the complete list instead.
 func (c *Control) listByDataCentre(string) ([]lister.RosterLeaf, int, error) {
-	type part struct {
+	type listing struct {
 		leafs []lister.RosterLeaf
 		calls int
 	}
-	readers := pool.NewWithResults[part]().WithErrors().WithFirstError()
-	for _, centre := range c.settings.DataCentres {
-		readers.Go(func() (part, error) {
-			leafs, calls, err := c.list(centre)
-			return part{leafs: leafs, calls: calls}, err
+	group := pool.NewWithResults[listing]().WithErrors().WithFirstError()
+	for _, dataCentre := range c.settings.DataCentres {
+		group.Go(func() (listing, error) {
+			leafs, calls, err := c.listLeafs(dataCentre)
+			return listing{leafs: leafs, calls: calls}, err
 		})
 	}
-	parts, err := readers.Wait()
+	listings, err := group.Wait()
 	var leafs []lister.RosterLeaf
 	calls := 0
-	for _, p := range parts {
-		leafs = append(leafs, p.leafs...)
-		calls += p.calls
+	for _, l := range listings {
+		leafs = append(leafs, l.leafs...)
+		calls += l.calls
 	}
 	if err != nil || len(leafs) == 0 {
-		return c.list("")
+		return c.listLeafs("")
 	}
 	return leafs, calls, nil
 }
 
-// readList reads the list and returns how many calls that took.
-func (c *Control) readList(term uint64, read List) int {
-	leafs, calls, err := read("")
+// refreshRoster fetches the list of leafs, publishes it for the given term and returns the number of calls that this took. It logs
+// only the first of several failures in a row.
+func (c *Control) refreshRoster(term uint64, list ListFunc) int {
+	leafs, calls, err := list("")
 	if err != nil {
-		if !c.listBad {
-			c.log.Error(err, "steward: the list of leafs cannot be read")
+		if !c.isListFailing {
+			c.log.Error(err, "steward: cannot fetch the list of leafs")
 		}
-		c.listBad = true
+		c.isListFailing = true
 		return calls
 	}
-	if c.listBad {
-		c.listBad = false
-		c.log.Info("steward: the list of leafs can be read again")
+	if c.isListFailing {
+		c.isListFailing = false
+		c.log.Info("steward: the list of leafs can be fetched again")
 	}
-	if c.board.Publish(term, leafs) {
+	if c.rosterStore.Publish(term, leafs) {
 		c.log.Info("steward: list of leafs changed", "leafs", len(leafs), "term", term)
 	}
 	return calls
 }
 
-func (c *Control) note(kind, peer, text string) {
+// logEvent logs an event of the controller server. After a failed write it also starts the wait for the recovery of the disk.
+func (c *Control) logEvent(kind, peer, text string) {
 	c.log.Info("steward: "+kind, "peer", peer, "what", text)
 	if kind == controller.EventFailed {
-		go c.awaitDisk()
+		go c.awaitDiskRecovery()
 	}
 }
 
-// awaitDisk ends the instance once the disk takes writes again, so that it starts from what is on disk.
-func (c *Control) awaitDisk() {
-	path := filepath.Join(c.settings.DataFolder, probeFile)
+// awaitDiskRecovery requests a restart once the disk accepts writes again, so that the instance starts from the state on its disk.
+func (c *Control) awaitDiskRecovery() {
+	path := filepath.Join(c.settings.DataFolder, diskProbeFile)
 	for {
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(probeInterval):
+		case <-time.After(diskProbeInterval):
 		}
-		if err := probe(path); err == nil {
-			c.ended <- errors.New("the disk refused a write and takes writes again")
+		if err := probeDisk(path); err == nil {
+			c.restartRequired <- errors.New("a write to the disk failed, and the disk accepts writes again")
 			return
 		}
 	}
 }
 
-func probe(path string) error {
+// probeDisk writes and syncs a temporary file at path.
+func probeDisk(path string) error {
 	defer func() { _ = os.Remove(path) }()
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = file.Close() }()
-	if _, err := file.Write(make([]byte, probeBytes)); err != nil {
+	if _, err := file.Write(make([]byte, diskProbeBytes)); err != nil {
 		return err
 	}
 	return file.Sync()
--- a/pkg/steward/document.go
+++ b/pkg/steward/document.go
@@ -8,10 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxDocument bounds a routing document, in bytes.
-const maxDocument = 16 << 20
+// maxDocumentBytes is the size limit of an uncompressed routing document.
+const maxDocumentBytes = 16 << 20
 
-// compress returns a routing document as the log holds it; hundreds of similar routes shrink to a twentieth.
+// compress returns a routing document in the form in which the replicated log stores it. Documents with hundreds of similar
+// routes shrink to a twentieth of their size.
 func compress(body []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
@@ -27,10 +28,11 @@
 	return buffer.Bytes(), nil
 }
 
-func expand(compressed []byte) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDocument+1))
-	if err == nil && len(body) > maxDocument {
-		err = errors.Errorf("more than %d bytes", maxDocument)
+// decompress reverses compress. It returns an error for invalid data and for a document above maxDocumentBytes.
+func decompress(compressed []byte) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDocumentBytes+1))
+	if err == nil && len(body) > maxDocumentBytes {
+		err = errors.Errorf("longer than the limit of %d bytes", maxDocumentBytes)
 	}
-	return body, errors.Wrap(err, "expand the routing document")
+	return body, errors.Wrap(err, "decompress the routing document")
 }
--- a/pkg/steward/entry.go
+++ b/pkg/steward/entry.go
@@ -1,6 +1,3 @@
-// An entry instance serves callers. It acts on the newest table that it was
-// given also while no control instance can be reached, and keeps asking them.
-
 package steward
 
 import (
@@ -27,116 +24,118 @@
 )
 
 const (
-	// callerTravel is the way of a request from its caller and of the answer back, with the opening of a connection.
-	callerTravel = 8 * time.Millisecond
-	// leaveAfter is the part of the grace in which callers are served as before while readiness is withdrawn.
-	leaveAfter = 0.7
-	// ownListLook is how often an entry instance looks whether it has to.
-	ownListLook = 100 * time.Millisecond
-	// endMargin is left between the end of the service and the kill.
-	endMargin = 300 * time.Millisecond
-	// closeTime bounds the closing of what runs beside the callers' traffic, within that margin.
-	closeTime = 100 * time.Millisecond
+	// callerRoundTrip is the time that a caller's request and its answer spend on the network, including the connection setup.
+	callerRoundTrip = 8 * time.Millisecond
+	// unreadyShare is the share of the grace period in which the instance is not ready but still serves all requests. In this
+	// time, callers move to other instances.
+	unreadyShare = 0.7
+	// fallbackListPollInterval is the interval at which an entry instance checks whether it must fetch the list of leafs itself.
+	fallbackListPollInterval = 100 * time.Millisecond
+	// exitMargin is the time between the end of service to callers and the kill.
+	exitMargin = 300 * time.Millisecond
+	// closeTimeout is the time limit for closing the connections between instances, within exitMargin.
+	closeTimeout = 100 * time.Millisecond
 )
 
 type (
-	// Entry is one entry instance.
+	// Entry is an entry instance, which serves callers. While it cannot reach any control instance, it continues with the last
+	// table that it received, and keeps trying to reach them.
 	Entry struct {
-		settings Settings
-		log      logr.Logger
-		gate     *gatekeeper.Gatekeeper
-		gossip   *gossiper.Gossiper
-		peers    *aggregator.Peers
-		links    *linker.Server
-		client   *controller.Client
-		list     List
-		began    time.Time
-		watcher  *watcher.Watcher
-		stop     chan struct{}
+		settings      Settings
+		log           logr.Logger
+		gatekeeper    *gatekeeper.Gatekeeper
+		gossiper      *gossiper.Gossiper
+		peers         *aggregator.Peers
+		rpcServer     *linker.Server
+		controlClient *controller.Client
+		listLeafs     ListFunc
+		startedAt     time.Time
+		pauseWatcher  *watcher.Watcher
+		stop          chan struct{}
 	}
 )
 
-// NewEntry starts an entry instance; Shutdown ends it.
-func NewEntry(settings Settings, headers gatekeeper.Headers, decode Decode, list List, log logr.Logger) (*Entry, error) {
-	e := &Entry{settings: settings, log: log, list: list, began: time.Now(), watcher: watcher.New(0, time.Now().Round(0)), stop: make(chan struct{})}
+// NewEntry starts an entry instance, which runs until Shutdown. It returns an error if one of its addresses is not available.
+func NewEntry(settings Settings, headers gatekeeper.Headers, decode DecodeFunc, listLeafs ListFunc, log logr.Logger) (*Entry, error) {
+	e := &Entry{settings: settings, log: log, listLeafs: listLeafs, startedAt: time.Now(), pauseWatcher: watcher.New(0, time.Now().Round(0)), stop: make(chan struct{})}
 	seed := uint64(time.Now().UnixNano())
 	secret := linker.NewSecret(settings.Cluster, nil)
 	var err error
-	if e.gossip, err = gossiper.New(gossiper.Config{
-		Listen: settings.linkAddress(settings.Host), Secret: secret, Now: e.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: log, MayBeStale: e.stale,
-		OnObservations: func(observations []spreader.Observation) { e.gate.ApplyObservations(observations) },
+	if e.gossiper, err = gossiper.New(gossiper.Config{
+		Listen: settings.peerAddress(settings.Host), Secret: secret, Now: e.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: log, MayBeStale: e.mayBeStale,
+		OnObservations: func(observations []spreader.Observation) { e.gatekeeper.ApplyObservations(observations) },
 	}); err != nil {
 		return nil, err
 	}
 	e.peers = aggregator.NewPeers(linker.New(secret), e.now, log)
-	e.gate = gatekeeper.New(gatekeeper.Config{
-		Headers: headers, Instance: settings.Instance, DataCentre: settings.DataCentre, CallerRoundTrip: callerTravel, BodyMemoryBytes: settings.heldBytes(),
-		Budget: hedger.RetryLimit{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow},
-		Decode: func(version uint64, packed []byte) (*router.Table, error) {
-			return decodePacked(decode, version, packed)
+	e.gatekeeper = gatekeeper.New(gatekeeper.Config{
+		Headers: headers, Instance: settings.Instance, DataCentre: settings.DataCentre, CallerRoundTrip: callerRoundTrip, BodyMemoryBytes: settings.bodyMemoryBytes(),
+		Budget: hedger.RetryLimit{Ratio: settings.RetryBudgetRatio, Slack: settings.RetryBudgetSlack, Window: settings.RetryBudgetWindow},
+		Decode: func(version uint64, compressed []byte) (*router.Table, error) {
+			return decodeCompressed(decode, version, compressed)
 		},
-		Dial: dial, Now: e.now, Random: rand.New(rand.NewPCG(seed, 1)), Log: log, PublishObservation: e.gossip.Publish,
-		Peers: e.peers, MayBeStale: e.stale,
+		Dial: dial, Now: e.now, Random: rand.New(rand.NewPCG(seed, 1)), Log: log, PublishObservation: e.gossiper.Publish,
+		Peers: e.peers, MayBeStale: e.mayBeStale,
 	})
-	e.client = controller.NewClient(controller.ClientConfig{
+	e.controlClient = controller.NewClient(controller.ClientConfig{
 		Member: tabulator.MemberFields{
 			Instance: settings.Instance, Incarnation: seed, DataCentre: settings.DataCentre,
-			FellowAddress: settings.linkAddress(settings.Host),
+			FellowAddress: settings.peerAddress(settings.Host),
 		},
-		Addresses: settings.seeds(), Linker: linker.New(secret), Now: e.now,
+		Addresses: settings.seedAddresses(), Linker: linker.New(secret), Now: e.now,
 		Random: rand.New(rand.NewPCG(seed, 2)), Timeline: timeliner.New(settings.Instance, time.Now),
-		OnView: e.setView, OnRoster: e.gate.SetRoster, OnLeaseChange: e.onLease,
-		CountRequests: e.gate.RecentRequests, OnTotalRequests: e.gate.SetTotalRequests,
+		OnView: e.setView, OnRoster: e.gatekeeper.SetRoster, OnLeaseChange: e.onLeaseChange,
+		CountRequests: e.gatekeeper.RecentRequests, OnTotalRequests: e.gatekeeper.SetTotalRequests,
 	})
-	listener, err := net.Listen("tcp", settings.Callers)
+	listener, err := net.Listen("tcp", settings.CallerAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for callers")
 	}
-	if err := e.serveInstances(secret); err != nil {
+	if err := e.servePeers(secret); err != nil {
 		return nil, err
 	}
-	e.gossip.Run()
+	e.gossiper.Run()
 	e.peers.Run()
-	go e.serve(listener)
-	e.client.Run()
-	go e.listLoop()
-	go e.watch()
-	log.Info("steward: entry instance started", "data-centre", settings.DataCentre, "callers", settings.Callers)
+	go e.serveCallers(listener)
+	e.controlClient.Run()
+	go e.fallbackListLoop()
+	go e.detectPauses()
+	log.Info("steward: entry instance started", "data-centre", settings.DataCentre, "callers", settings.CallerAddress)
 	return e, nil
 }
 
-// serveInstances takes slices of other entry instances' queries.
-func (e *Entry) serveInstances(secret linker.Secret) error {
-	listener, err := net.Listen("tcp", e.settings.linkAddress(e.settings.Host))
+// servePeers serves calls of other entry instances, which send slices of their queries.
+func (e *Entry) servePeers(secret linker.Secret) error {
+	listener, err := net.Listen("tcp", e.settings.peerAddress(e.settings.Host))
 	if err != nil {
 		return errors.Wrap(err, "listen for other instances")
 	}
-	e.links, err = linker.New(secret).Serve(listener, map[string]any{"Aggregator": aggregator.NewService(e.gate)})
+	e.rpcServer, err = linker.New(secret).Serve(listener, map[string]any{"Aggregator": aggregator.NewService(e.gatekeeper)})
 	return err
 }
 
-// Ready tells whether new callers should come here.
-func (e *Entry) Ready() bool { return e.gate.Ready() }
+// IsReady reports whether the instance is ready for new callers.
+func (e *Entry) IsReady() bool { return e.gatekeeper.Ready() }
 
-// Gate returns the gatekeeper of the instance.
-func (e *Entry) Gate() *gatekeeper.Gatekeeper { return e.gate }
+// Gatekeeper returns the gatekeeper that serves the callers of the instance.
+func (e *Entry) Gatekeeper() *gatekeeper.Gatekeeper { return e.gatekeeper }
 
-// Reload takes settings that changed.
+// Reload adds the seeds of changed settings. Other settings take effect after a restart.
 func (e *Entry) Reload(settings Settings) {
-	e.client.AddAddresses(settings.seeds())
-	e.log.Info("steward: settings reloaded", "seeds", settings.seeds())
+	e.controlClient.AddAddresses(settings.seedAddresses())
+	e.log.Info("steward: settings reloaded", "seeds", settings.seedAddresses())
 }
 
-// Shutdown withdraws readiness, serves on for most of the grace, and ends.
+// Shutdown makes the instance not ready, serves requests for most of the grace period, and then stops the instance.
 func (e *Entry) Shutdown() {
-	e.log.Info("steward: shutting down", "grace-ms", e.settings.Grace.Milliseconds())
-	deadline := time.Now().Add(e.settings.Grace - endMargin)
-	e.gate.Drain()
-	time.Sleep(time.Duration(leaveAfter * float64(e.settings.Grace)))
+	e.log.Info("steward: shutting down", "grace-ms", e.settings.GracePeriod.Milliseconds())
+	deadline := time.Now().Add(e.settings.GracePeriod - exitMargin)
+	e.gatekeeper.Drain()
+	time.Sleep(time.Duration(unreadyShare * float64(e.settings.GracePeriod)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	if err := e.gate.Shutdown(ctx); err != nil {
-		e.log.Error(err, "steward: requests were still under way at the end")
+	if err := e.gatekeeper.Shutdown(ctx); err != nil {
+		e.log.Error(err, "steward: requests were still in progress at the end of the grace period")
 	}
 	closed := make(chan struct{})
 	go func() {
@@ -145,80 +144,84 @@
 	}()
 	select {
 	case <-closed:
-	case <-time.After(closeTime):
-		e.log.Info("steward: connections between instances were still busy at the end")
+	case <-time.After(closeTimeout):
+		e.log.Info("steward: connections between instances were not closed in time")
 	}
 }
 
-// close ends what runs beside the callers' traffic. Calls that are under way may hold it up; the end of the process ends them.
+// close stops the background work and closes the connections between instances. Calls in progress may delay it beyond
+// closeTimeout. The exit of the process ends them.
 func (e *Entry) close() {
 	close(e.stop)
-	e.client.Close()
-	e.gossip.Close()
+	e.controlClient.Close()
+	e.gossiper.Close()
 	e.peers.Close()
-	e.links.Close()
+	e.rpcServer.Close()
 }
 
-// setView takes the newest view: what callers are served by, and who else is in the data centre.
+// setView applies a new view of the control instances: routes and data centres to the gatekeeper, and the other entry instances of
+// the same data centre to the gossiper.
 func (e *Entry) setView(view *tabulator.View) {
-	e.gate.SetView(view)
+	e.gatekeeper.SetView(view)
 	var peers []string
 	for _, member := range view.Members() {
 		if member.DataCentre() == e.settings.DataCentre && member.Instance() != e.settings.Instance {
 			peers = append(peers, member.FellowAddress())
 		}
 	}
-	e.gossip.SetPeers(peers)
+	e.gossiper.SetPeers(peers)
 }
 
-func (e *Entry) serve(listener net.Listener) {
-	if err := e.gate.Serve(listener); err != nil {
-		e.log.Error(err, "steward: callers are not served")
+func (e *Entry) serveCallers(listener net.Listener) {
+	if err := e.gatekeeper.Serve(listener); err != nil {
+		e.log.Error(err, "steward: serving callers ended with an error")
 	}
 }
 
-func (e *Entry) onLease(held bool) {
-	if held {
-		e.log.Info("steward: control instances reached", "revision", e.client.View().Revision())
+// onLeaseChange logs the change. After the loss of the lease, it adds the seeds to the control instances that are tried.
+func (e *Entry) onLeaseChange(isHeld bool) {
+	if isHeld {
+		e.log.Info("steward: control instances reached", "revision", e.controlClient.View().Revision())
 		return
 	}
-	e.log.Info("steward: control instances lost; serving on with the last table", "revision", e.client.View().Revision())
-	e.client.AddAddresses(e.settings.seeds())
+	e.log.Info("steward: control instances lost; serving on with the last table", "revision", e.controlClient.View().Revision())
+	e.controlClient.AddAddresses(e.settings.seedAddresses())
 }
 
-// listLoop reads the list of leafs itself while control instances hand on none that was read lately, whether they are lost
-// or cut off from the one that reads: a leaf that leaves must get no more work in that time either. All instances together
-// keep to the permitted rate.
-func (e *Entry) listLoop() {
+// fallbackListLoop fetches the list of leafs when the list from the control instances is too old, because no control instance
+// can be reached, the reachable ones are cut off from the leader, or the leader cannot fetch it. Draining leafs must not get new
+// requests in these cases either. The interval grows with the number of entry instances, so that all of them together stay below
+// the permitted rate.
+func (e *Entry) fallbackListLoop() {
 	var nextAt time.Duration
-	ownListAfter := e.settings.ownListAfter()
-	readAt := -ownListAfter
+	maxRosterAge := e.settings.fallbackListAge()
+	listedAt := -maxRosterAge
 	for {
 		select {
 		case <-e.stop:
 			return
-		case <-time.After(ownListLook):
+		case <-time.After(fallbackListPollInterval):
 		}
 		now := e.now()
-		handedOn, known := e.client.RosterReadAt()
-		if !known || now-max(handedOn, readAt) < ownListAfter || now < nextAt {
+		rosterReadAt, isKnown := e.controlClient.RosterReadAt()
+		if !isKnown || now-max(rosterReadAt, listedAt) < maxRosterAge || now < nextAt {
 			continue
 		}
-		leafs, calls, err := e.list("")
-		together := calls * max(1, len(e.client.View().Members()))
-		nextAt = now + max(e.settings.listInterval(), paced(together, e.settings.ListRate))
+		leafs, calls, err := e.listLeafs("")
+		totalCalls := calls * max(1, len(e.controlClient.View().Members()))
+		nextAt = now + max(e.settings.listInterval(), minListInterval(totalCalls, e.settings.ListCallsPerSecond))
 		if err != nil {
-			e.log.Error(err, "steward: the list of leafs cannot be read here either")
+			e.log.Error(err, "steward: this instance cannot fetch the list of leafs either")
 			continue
 		}
-		readAt = now
-		e.log.Info("steward: read the list of leafs here", "leafs", len(leafs), "handed-on-age-ms", (now - handedOn).Milliseconds())
-		e.gate.SetRoster(lister.Roster{Leafs: leafs})
+		listedAt = now
+		e.log.Info("steward: this instance fetched the list of leafs", "leafs", len(leafs), "handed-on-age-ms", (now - rosterReadAt).Milliseconds())
+		e.gatekeeper.SetRoster(lister.Roster{Leafs: leafs})
 	}
 }
 
-// watch notices that the process was paused.
-func (e *Entry) watch() {
+// detectPauses logs when the process was paused.
+func (e *Entry) detectPauses() {
 	ticker := time.NewTicker(watcher.Interval)
 	defer ticker.Stop()
 	for {
@@ -227,19 +230,19 @@
 			return
 		case <-ticker.C:
 		}
-		// Round strips the steady clock, so that the times of day are compared.
-		if paused := e.watcher.OnTick(e.now(), time.Now().Round(0)); paused > 0 {
+		// Round(0) removes the monotonic clock reading, so that wall clock times are compared.
+		if paused := e.pauseWatcher.OnTick(e.now(), time.Now().Round(0)); paused > 0 {
 			e.log.Info("steward: the process was paused", "for-ms", paused.Milliseconds())
 		}
 	}
 }
 
-func (e *Entry) stale() bool { return e.watcher.IsStale(e.now(), time.Now().Round(0)) }
+func (e *Entry) mayBeStale() bool { return e.pauseWatcher.IsStale(e.now(), time.Now().Round(0)) }
 
-func (e *Entry) now() time.Duration { return time.Since(e.began) }
+func (e *Entry) now() time.Duration { return time.Since(e.startedAt) }
 
-func decodePacked(decode Decode, version uint64, packed []byte) (*router.Table, error) {
-	body, err := expand(packed)
+func decodeCompressed(decode DecodeFunc, version uint64, compressed []byte) (*router.Table, error) {
+	body, err := decompress(compressed)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/steward/platform.go
+++ b/pkg/steward/platform.go
@@ -8,32 +8,39 @@
 	"lovagedeck/pkg/router"
 )
 
-// Platform translates between a platform and the product; it decides nothing.
+// Platform adapts the settings, headers, routing documents and operators' calls of the platform that the deployment runs on. It
+// only converts formats, and leaves all decisions to the other packages.
 type Platform interface {
 	// SettingsFile returns the path of the settings file.
 	SettingsFile() string
-	// Settings reads the settings file.
+	// Settings reads the settings file. It returns an error if the file cannot be read or decoded.
 	Settings() (Settings, error)
 	// Headers returns the names of the headers that the platform uses.
 	Headers() gatekeeper.Headers
-	// Decode reads a routing document.
-	Decode(version uint64, body []byte) (*router.Table, error)
-	// List reads the list of leafs of a data centre, or of all where it is empty, and counts the calls that it took.
-	List(dataCentre string) (leafs []lister.RosterLeaf, calls int, err error)
-	// Operators returns the operators' interface of a control instance.
-	Operators(orders Orders) fasthttp.RequestHandler
-	// Readiness returns the interface that tells whether new callers may come.
-	Readiness(ready func() bool) fasthttp.RequestHandler
+	// DecodeDocument builds the routing table of a routing document. It returns an error if the document is invalid or has
+	// another version.
+	DecodeDocument(version uint64, body []byte) (*router.Table, error)
+	// ListLeafs fetches the list of leafs of one data centre, or of all if the name is empty, and returns the number of calls
+	// that this took, also after an error.
+	ListLeafs(dataCentre string) (leafs []lister.RosterLeaf, calls int, err error)
+	// OperatorHandler returns the HTTP handler for operators' calls to a control instance.
+	OperatorHandler(api OperatorAPI) fasthttp.RequestHandler
+	// ReadinessHandler returns the HTTP handler of the readiness probe of an entry instance.
+	ReadinessHandler(isReady func() bool) fasthttp.RequestHandler
 }
 
-// Orders are what operators ask of a control instance.
-type Orders interface {
-	// PutDocument puts a checked routing document into the log and waits until it is applied.
+// OperatorAPI is what a control instance offers to operators.
+type OperatorAPI interface {
+	// PutDocument appends a valid routing document to the replicated log and waits until it is applied. It returns an error
+	// if the document was rejected or the outcome is unknown.
 	PutDocument(version uint64, body []byte) error
-	// Document returns the newest routing document, version 0 where there is none, or ErrUnsure.
+	// Document returns the newest routing document, or version 0 if there is none. It returns ErrUnconfirmed if no majority of
+	// the control instances confirmed that the document is the newest.
 	Document() (version uint64, body []byte, err error)
-	// TakeOut ends new work in a data centre.
-	TakeOut(dataCentre string) error
-	// TakeIn lets a data centre take new work again.
-	TakeIn(dataCentre string) error
+	// TakeOutOfService stops new requests from being sent to leafs in a data centre. It returns an error if the change was
+	// rejected or its outcome is unknown.
+	TakeOutOfService(dataCentre string) error
+	// ReturnToService allows new requests to leafs in a data centre again. It returns an error if the change was rejected or
+	// its outcome is unknown.
+	ReturnToService(dataCentre string) error
 }
--- a/pkg/steward/run.go
+++ b/pkg/steward/run.go
@@ -1,7 +1,3 @@
-// RunEntry and RunControl run one instance until it is told to stop. A changed
-// settings file is read again on SIGHUP, and without a signal within seconds; one
-// that cannot be read leaves the last good settings in force.
-
 package steward
 
 import (
@@ -21,30 +17,30 @@
 )
 
 const (
-	// settingsPoll is how often the settings file is looked at for a change without a signal.
-	settingsPoll = 2 * time.Second
-	// sideTimeout bounds the reading of one call on the addresses beside the callers'.
-	sideTimeout = 10 * time.Second
-	// heapShare is the part of the memory limit that the Go runtime keeps to; the rest is for the C library, buffers of
-	// the kernel and files in memory.
-	heapShare = 0.7
-	sideName  = "lovagedeck"
+	// settingsPollInterval is the interval at which the modification time of the settings file is checked.
+	settingsPollInterval = 2 * time.Second
+	// adminReadTimeout is the time within which a request must arrive on the operator, readiness and metrics addresses.
+	adminReadTimeout = 10 * time.Second
+	// heapShare is the share of the memory limit that the Go runtime may use. The C library, kernel buffers and files in memory
+	// need the rest.
+	heapShare       = 0.7
+	adminServerName = "lovagedeck"
 )
 
-// RunEntry runs an entry instance until the context ends.
+// RunEntry runs an entry instance until the context ends. It returns an error if the instance cannot be started.
 func RunEntry(ctx context.Context, platform Platform, log logr.Logger) error {
 	settings, err := readSettings(platform)
 	if err != nil {
 		return err
 	}
 	log = log.WithValues("instance", settings.Instance)
-	limitMemory(settings)
-	entry, err := NewEntry(settings, platform.Headers(), platform.Decode, platform.List, log)
+	setMemoryLimit(settings)
+	entry, err := NewEntry(settings, platform.Headers(), platform.DecodeDocument, platform.ListLeafs, log)
 	if err != nil {
 		return err
 	}
-	serveSide(settings.Readiness, platform.Readiness(entry.Ready), log)
-	serveMetrics(settings, log, entry.Gate().Metrics())
+	serveAdmin(settings.ReadinessAddress, platform.ReadinessHandler(entry.IsReady), log)
+	serveMetrics(settings, log, entry.Gatekeeper().Metrics())
 	watchSettings(ctx, platform, log, entry.Reload)
 	<-ctx.Done()
 	entry.Shutdown()
@@ -52,19 +48,20 @@
 	return nil
 }
 
-// RunControl runs a control instance until the context ends or the instance must start again.
+// RunControl runs a control instance until the context ends. It returns an error if the instance cannot be started, or if it must
+// be restarted after a failed write to its disk.
 func RunControl(ctx context.Context, platform Platform, log logr.Logger) error {
 	settings, err := readSettings(platform)
 	if err != nil {
 		return err
 	}
 	log = log.WithValues("instance", settings.Instance)
-	limitMemory(settings)
-	control, err := NewControl(settings, platform.List, log)
+	setMemoryLimit(settings)
+	control, err := NewControl(settings, platform.ListLeafs, log)
 	if err != nil {
 		return err
 	}
-	serveSide(settings.Operators, platform.Operators(control), log)
+	serveAdmin(settings.OperatorAddress, platform.OperatorHandler(control), log)
 	serveMetrics(settings, log)
 	watchSettings(ctx, platform, log, control.Reload)
 	select {
@@ -72,15 +69,16 @@
 		control.Close()
 		log.Info("steward: control instance ended")
 		return nil
-	case err := <-control.Ended():
-		return errors.Wrap(err, "the control instance must start again")
+	case err := <-control.RestartRequired():
+		return errors.Wrap(err, "the control instance must be restarted")
 	}
 }
 
-// limitMemory makes the collector work harder before the process is killed for its memory.
-func limitMemory(settings Settings) {
-	if settings.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(settings.MemoryLimit)))
+// setMemoryLimit makes the garbage collector run more often before the memory use reaches the limit at which the process is
+// killed.
+func setMemoryLimit(settings Settings) {
+	if settings.MemoryLimitBytes > 0 {
+		debug.SetMemoryLimit(int64(heapShare * float64(settings.MemoryLimitBytes)))
 	}
 }
 
@@ -92,39 +90,40 @@
 	return settings, settings.Check()
 }
 
-// serveSide serves a handler beside the callers' traffic; an empty address serves nothing.
-func serveSide(address string, handler fasthttp.RequestHandler, log logr.Logger) {
+// serveAdmin serves operators' calls, readiness probes or metrics in the background. It does nothing if the address is empty. An
+// address that cannot be served is logged and does not stop the instance.
+func serveAdmin(address string, handler fasthttp.RequestHandler, log logr.Logger) {
 	if address == "" {
 		return
 	}
 	server := &fasthttp.Server{
-		Handler: handler, Name: sideName, ReadTimeout: sideTimeout, MaxRequestBodySize: maxDocument,
-		NoDefaultServerHeader: true, CloseOnShutdown: true, Logger: quiet{},
+		Handler: handler, Name: adminServerName, ReadTimeout: adminReadTimeout, MaxRequestBodySize: maxDocumentBytes,
+		NoDefaultServerHeader: true, CloseOnShutdown: true, Logger: discardLogger{},
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		log.Error(err, "steward: an address cannot be served", "address", address)
+		log.Error(err, "steward: cannot listen on the address", "address", address)
 		return
 	}
 	go func() {
 		if err := server.Serve(listener); err != nil {
-			log.Error(err, "steward: an address is no longer served", "address", address)
+			log.Error(err, "steward: serving the address ended with an error", "address", address)
 		}
 	}()
 }
 
-// quiet drops what the HTTP library logs of single connections; calls are logged where they are handled.
-type quiet struct{}
+// discardLogger drops the messages of the HTTP library about single connections. Calls are logged by their handlers.
+type discardLogger struct{}
 
-// Printf drops the line.
-func (quiet) Printf(string, ...any) {}
+// Printf discards the message.
+func (discardLogger) Printf(string, ...any) {}
 
 func serveMetrics(settings Settings, log logr.Logger, sets ...*metrics.Set) {
 	if settings.MetricsPort == 0 {
 		return
 	}
 	address := net.JoinHostPort(settings.Host, strconv.Itoa(settings.MetricsPort))
-	serveSide(address, func(ctx *fasthttp.RequestCtx) {
+	serveAdmin(address, func(ctx *fasthttp.RequestCtx) {
 		for _, set := range sets {
 			set.WritePrometheus(ctx)
 		}
@@ -132,28 +131,29 @@
 	}, log)
 }
 
-// watchSettings reloads on SIGHUP and after a change of the file.
+// watchSettings reads the settings file again on SIGHUP and when its modification time changes, until the context ends, and passes
+// the new settings to reload. If they are invalid, the previous settings stay in force.
 func watchSettings(ctx context.Context, platform Platform, log logr.Logger, reload func(Settings)) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	seen := modified(platform.SettingsFile())
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
+	lastModTime := modTime(platform.SettingsFile())
 	go func() {
-		ticker := time.NewTicker(settingsPoll)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangups:
+			case <-sighups:
 			case <-ticker.C:
-				if modified(platform.SettingsFile()).Equal(seen) {
+				if modTime(platform.SettingsFile()).Equal(lastModTime) {
 					continue
 				}
 			}
-			seen = modified(platform.SettingsFile())
+			lastModTime = modTime(platform.SettingsFile())
 			settings, err := readSettings(platform)
 			if err != nil {
-				log.Error(err, "steward: changed settings cannot be used; the last ones stay in force")
+				log.Error(err, "steward: the changed settings are invalid; the previous settings stay in force")
 				continue
 			}
 			reload(settings)
@@ -161,7 +161,8 @@
 	}()
 }
 
-func modified(path string) time.Time {
+// modTime returns the modification time of a file, or the zero time if it cannot be read.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/pkg/steward/settings.go
+++ b/pkg/steward/settings.go
@@ -11,135 +11,143 @@
 )
 
 type (
-	// Settings are what an instance of the deployment is told.
+	// Settings are the settings of one entry or control instance, as read from the settings file of the platform.
 	Settings struct {
+		// Cluster is the name of the cluster. Instances accept calls only from instances of the same cluster.
 		Cluster    string
 		Instance   string
 		DataCentre string
-		// DataCentres are those that are known when the settings are written.
+		// DataCentres are the names of the data centres that are known when the settings file is written.
 		DataCentres []string
-		// Host is the address of the instance without a port.
+		// Host is the IP address of the instance.
 		Host string
-		// LinkPort is the port for calls between instances, the same on all of them.
-		LinkPort int
-		// LinkListen is where calls of other instances are taken, if that is not the link port of the host.
-		LinkListen string
-		// MetricsPort is the port of the metrics; 0 serves none.
+		// PeerPort is the port for calls between instances. It is the same on all instances.
+		PeerPort int
+		// PeerListenAddress is the address on which a control instance accepts calls of other instances, if it is not
+		// PeerPort of Host.
+		PeerListenAddress string
+		// MetricsPort is the port on which metrics are served, or 0 for none.
 		MetricsPort int
-		// Callers, Readiness and Operators are listening addresses; one that is empty is not served.
-		Callers   string
-		Readiness string
-		Operators string
+		// CallerAddress, ReadinessAddress and OperatorAddress are the listen addresses for callers' requests, readiness probes
+		// and operators' calls. An empty readiness or operator address is not served.
+		CallerAddress    string
+		ReadinessAddress string
+		OperatorAddress  string
 		// SeedHosts are the hosts of some control instances, without ports.
 		SeedHosts []string
-		// Founding tells that the deployment starts for the first time, with empty disks.
-		Founding bool
-		// MemoryLimit is the memory beyond which the process is killed, in bytes; 0 is no limit.
-		MemoryLimit int64
-		// HeldBytes bounds the bodies of requests and answers that are held at one time; 0 is a part of MemoryLimit.
-		HeldBytes int64
-		// DataFolder holds the files of a control instance.
+		// IsBootstrap reports whether the deployment starts for the first time, with empty disks.
+		IsBootstrap bool
+		// MemoryLimitBytes is the memory use above which the process is killed, or 0 for no limit.
+		MemoryLimitBytes int64
+		// BodyMemoryBytes is the limit on the memory for bodies of requests and answers. 0 means a fixed share of
+		// MemoryLimitBytes.
+		BodyMemoryBytes int64
+		// DataFolder is the folder of the files of a control instance.
 		DataFolder string
-		// ToleratedLosses is how many control instances may lose their disks at once.
-		ToleratedLosses int
-		// RetryRatio and RetrySlack bound the repeated requests of a service within any RetryWindow, from all instances
-		// together: a share of its requests, and a fixed number on top.
-		RetryRatio  float64
-		RetrySlack  float64
-		RetryWindow time.Duration
-		// Grace is the time between the request to stop and the kill.
-		Grace time.Duration
-		// DrainBound is the time after which a leaving leaf must get no more work; 0 is the default of three seconds.
-		DrainBound time.Duration
-		// ListRate is how many calls a second the list of leafs takes from all instances together.
-		ListRate float64
+		// ToleratedDiskLosses is the number of control instances that may lose their disks at once without loss of data.
+		ToleratedDiskLosses int
+		// RetryBudgetRatio and RetryBudgetSlack limit the retries and hedges to a service from all instances together. Within
+		// any RetryBudgetWindow these may reach RetryBudgetRatio times the requests to the service, plus RetryBudgetSlack.
+		RetryBudgetRatio  float64
+		RetryBudgetSlack  float64
+		RetryBudgetWindow time.Duration
+		// GracePeriod is the time between the request to stop the process and its kill.
+		GracePeriod time.Duration
+		// MaxDrainDelay is the time after which a draining leaf must not get new requests, or 0 for the default of 3 s.
+		MaxDrainDelay time.Duration
+		// ListCallsPerSecond is the rate limit of the platform for calls that fetch the list of leafs, for all instances
+		// together. 0 means no limit.
+		ListCallsPerSecond float64
 	}
 
-	// Decode reads a routing document.
-	Decode func(version uint64, body []byte) (*router.Table, error)
+	// DecodeFunc builds the routing table of a routing document. It returns an error if the document is invalid or has
+	// another version.
+	DecodeFunc func(version uint64, body []byte) (*router.Table, error)
 )
 
-// Check returns what is wrong with the settings, or nil.
+// Check returns an error that describes the first invalid setting, or nil.
 func (s Settings) Check() error {
 	switch {
 	case s.Instance == "":
 		return errors.New("settings: the instance has no name")
 	case net.ParseIP(s.Host) == nil:
-		return errors.Errorf("settings: the host %q is no address", s.Host)
-	case s.LinkPort <= 0:
-		return errors.New("settings: there is no port for calls between instances")
+		return errors.Errorf("settings: the host %q is not an IP address", s.Host)
+	case s.PeerPort <= 0:
+		return errors.New("settings: the port for calls between instances is missing")
 	case len(s.SeedHosts) == 0:
-		return errors.New("settings: there is no seed")
-	case s.HeldBytes < 0:
-		return errors.New("settings: the memory for bodies is negative")
-	case s.Operators != "" && s.DataFolder == "":
+		return errors.New("settings: the list of seeds is empty")
+	case s.BodyMemoryBytes < 0:
+		return errors.New("settings: the memory limit for bodies is negative")
+	case s.OperatorAddress != "" && s.DataFolder == "":
 		return errors.New("settings: a control instance needs a data folder")
 	}
 	return nil
 }
 
 const (
-	// heldShare is the part of the memory that bodies may take: the collector lets about as much garbage stand, and connections
-	// and tables need the rest.
-	heldShare = 0.125
-	// defaultDrainBound holds where the settings name none.
-	defaultDrainBound = 3 * time.Second
-	// listShareOfDrain is the time between readings of the list of leafs, in drain bounds: handing a reading on takes up to
-	// 0.8 s, two renewals, and as much again is left.
-	listShareOfDrain = 0.4
-	// ownListShareOfDrain is how old the list of leafs may be before an entry instance reads it itself, in drain bounds:
-	// beyond the reading interval with the handing on, and within the bound.
-	ownListShareOfDrain = 0.73
+	// bodyMemoryShare is the share of the memory limit that bodies may use. About as much again is garbage that the collector has
+	// not freed yet, and connections and tables need the rest.
+	bodyMemoryShare = 0.125
+	// defaultMaxDrainDelay applies if the settings contain none.
+	defaultMaxDrainDelay = 3 * time.Second
+	// listIntervalShare is the interval at which the list of leafs is fetched, as a share of the maximum drain delay.
+	// Distributing the list to all entry instances takes up to 0.8 s, which is two lease renewals, and as much again remains as
+	// a margin.
+	listIntervalShare = 0.4
+	// fallbackListAgeShare is the age of the list of leafs at which an entry instance fetches it itself, as a share of the
+	// maximum drain delay. It is larger than the list interval plus the time of the distribution, and smaller than the delay.
+	fallbackListAgeShare = 0.73
 )
 
-// heldBytes returns the bound on the bodies that are held at one time, 0 where the memory has no limit.
-func (s Settings) heldBytes() int64 {
-	if s.HeldBytes > 0 {
-		return s.HeldBytes
+// bodyMemoryBytes returns the limit on the memory for bodies, or 0 if the settings contain no limit.
+func (s Settings) bodyMemoryBytes() int64 {
+	if s.BodyMemoryBytes > 0 {
+		return s.BodyMemoryBytes
 	}
-	return int64(heldShare * float64(s.MemoryLimit))
+	return int64(bodyMemoryShare * float64(s.MemoryLimitBytes))
 }
 
-func (s Settings) drainBound() time.Duration {
-	if s.DrainBound > 0 {
-		return s.DrainBound
+func (s Settings) maxDrainDelay() time.Duration {
+	if s.MaxDrainDelay > 0 {
+		return s.MaxDrainDelay
 	}
-	return defaultDrainBound
+	return defaultMaxDrainDelay
 }
 
-// listInterval returns the time between readings of the list of leafs.
+// listInterval returns the shortest time between two fetches of the list of leafs.
 func (s Settings) listInterval() time.Duration {
-	return time.Duration(listShareOfDrain * float64(s.drainBound()))
+	return time.Duration(listIntervalShare * float64(s.maxDrainDelay()))
 }
 
-// ownListAfter returns how old the list of leafs may be before an entry instance reads it itself.
-func (s Settings) ownListAfter() time.Duration {
-	return time.Duration(ownListShareOfDrain * float64(s.drainBound()))
+// fallbackListAge returns the age of the list of leafs at which an entry instance fetches it itself.
+func (s Settings) fallbackListAge() time.Duration {
+	return time.Duration(fallbackListAgeShare * float64(s.maxDrainDelay()))
 }
 
-// linkAddress returns where a host takes calls of other instances.
-func (s Settings) linkAddress(host string) string {
-	return net.JoinHostPort(host, strconv.Itoa(s.LinkPort))
+// peerAddress returns the address of the instance on host for calls of other instances.
+func (s Settings) peerAddress(host string) string {
+	return net.JoinHostPort(host, strconv.Itoa(s.PeerPort))
 }
 
-// listenAddress returns where this instance takes calls of others.
-func (s Settings) listenAddress() string {
-	if s.LinkListen != "" {
-		return s.LinkListen
+// peerListenAddress returns the address on which this control instance accepts calls of other instances.
+func (s Settings) peerListenAddress() string {
+	if s.PeerListenAddress != "" {
+		return s.PeerListenAddress
 	}
-	return s.linkAddress(s.Host)
+	return s.peerAddress(s.Host)
 }
 
-// seeds returns the addresses of the seeds for calls between instances.
-func (s Settings) seeds() []string {
+// seedAddresses returns the addresses of the seeds for calls between instances.
+func (s Settings) seedAddresses() []string {
 	addresses := make([]string, 0, len(s.SeedHosts))
 	for _, host := range s.SeedHosts {
-		addresses = append(addresses, s.linkAddress(host))
+		addresses = append(addresses, s.peerAddress(host))
 	}
 	return addresses
 }
 
-// foundsCluster tells whether this instance is the one that begins the log: the first seed.
-func (s Settings) foundsCluster() bool {
-	return s.Founding && len(s.SeedHosts) > 0 && s.SeedHosts[0] == s.Host
+// bootstrapsCluster reports whether this instance creates the replicated log when the deployment starts for the first time. This
+// is the task of the first seed.
+func (s Settings) bootstrapsCluster() bool {
+	return s.IsBootstrap && len(s.SeedHosts) > 0 && s.SeedHosts[0] == s.Host
 }
--- a/pkg/steward/steward_test.go
+++ b/pkg/steward/steward_test.go
@@ -22,30 +22,30 @@
 	"lovagedeck/pkg/timeliner"
 )
 
-// core is five control instances on loopback addresses that know three seeds.
-type core struct {
-	t        *testing.T
-	folder   string
-	port     int
-	settings []Settings
-	running  []*Control
-	// listFails makes the reading of the list fail at every control instance.
-	listFails atomic.Bool
+// testCluster is a set of control instances on loopback addresses, the first three of which are the seeds.
+type testCluster struct {
+	t          *testing.T
+	dataFolder string
+	port       int
+	settings   []Settings
+	controls   []*Control
+	// isListFailing makes every control instance fail to fetch the list of leafs.
+	isListFailing atomic.Bool
 }
 
-// nextNet keeps the addresses of tests in one process apart.
-var nextNet atomic.Int64
+// networkCount is the number of clusters so far. It gives each cluster in the process its own loopback network.
+var networkCount atomic.Int64
 
-func newCore(t *testing.T, size int) *core {
+func newTestCluster(t *testing.T, size int) *testCluster {
 	t.Helper()
-	c := &core{t: t, folder: t.TempDir(), port: freePort(t), running: make([]*Control, size)}
-	network := nextNet.Add(1)
+	c := &testCluster{t: t, dataFolder: t.TempDir(), port: freePort(t), controls: make([]*Control, size)}
+	network := networkCount.Add(1)
 	host := func(i int) string { return fmt.Sprintf("127.0.%d.%d", 50+network, i+1) }
 	for i := range size {
 		c.settings = append(c.settings, Settings{
-			Cluster: "test", Instance: fmt.Sprint("control-", i), DataCentre: "a", Host: host(i), LinkPort: c.port,
-			Operators: "unused", SeedHosts: []string{host(0), host(1), host(2)}, Founding: true,
-			DataFolder: filepath.Join(c.folder, fmt.Sprint(i)), ToleratedLosses: 2,
+			Cluster: "test", Instance: fmt.Sprint("control-", i), DataCentre: "a", Host: host(i), PeerPort: c.port,
+			OperatorAddress: "unused", SeedHosts: []string{host(0), host(1), host(2)}, IsBootstrap: true,
+			DataFolder: filepath.Join(c.dataFolder, fmt.Sprint(i)), ToleratedDiskLosses: 2,
 		})
 	}
 	t.Cleanup(func() { c.stop() })
@@ -62,15 +62,15 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-func (c *core) start(members ...int) {
+func (c *testCluster) start(indexes ...int) {
 	c.t.Helper()
 	list := func(string) ([]lister.RosterLeaf, int, error) {
-		if c.listFails.Load() {
-			return nil, 1, fmt.Errorf("the list cannot be read")
+		if c.isListFailing.Load() {
+			return nil, 1, fmt.Errorf("the list is not available")
 		}
 		return []lister.RosterLeaf{{ID: "leaf-1", Service: "s", DataCentre: "a", Address: "127.0.0.1:1", Slots: 2}}, 1, nil
 	}
-	for _, i := range members {
+	for _, i := range indexes {
 		if err := os.MkdirAll(c.settings[i].DataFolder, 0o700); err != nil {
 			c.t.Fatal(err)
 		}
@@ -78,41 +78,42 @@
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		c.running[i] = control
+		c.controls[i] = control
 	}
 }
 
-// awaitFirstReading waits until the list was read, within the time in which a leaving leaf is left.
-func (c *core) awaitFirstReading(reads *atomic.Int64) {
+// awaitFirstListCall waits for the first fetch of the list of leafs and checks that it comes within the default maximum drain
+// delay.
+func (c *testCluster) awaitFirstListCall(listCalls *atomic.Int64) {
 	c.t.Helper()
-	begun := time.Now()
-	c.eventually("it reads the list", func() error {
-		if reads.Load() == 0 {
-			return fmt.Errorf("no reading")
+	startedAt := time.Now()
+	c.eventually("fetch of the list of leafs", func() error {
+		if listCalls.Load() == 0 {
+			return fmt.Errorf("no fetch yet")
 		}
 		return nil
 	})
-	if took := time.Since(begun); took > 3*time.Second {
-		c.t.Errorf("the first reading came after %v, want 3s", took)
+	if took := time.Since(startedAt); took > 3*time.Second {
+		c.t.Errorf("got the first fetch of the list of leafs after %v, want at most 3s", took)
 	}
 }
 
-// readyEntry starts an entry instance with the given list of leafs and waits until it takes callers.
-func (c *core) readyEntry(list List) *Entry {
+// startEntry starts an entry instance that fetches the list of leafs with listLeafs, and waits until it is ready.
+func (c *testCluster) startEntry(listLeafs ListFunc) *Entry {
 	c.t.Helper()
 	settings := c.settings[0]
-	settings.Instance, settings.Callers, settings.Grace, settings.ListRate = "entry-1", "127.0.0.1:0", time.Second, 40
-	// Both roles take calls of other instances at the link port.
+	settings.Instance, settings.CallerAddress, settings.GracePeriod, settings.ListCallsPerSecond = "entry-1", "127.0.0.1:0", time.Second, 40
+	// Entry and control instances listen on the same peer port, so the entry instance needs its own host.
 	settings.Host = strings.TrimSuffix(settings.Host, ".1") + ".200"
 	decode := func(version uint64, _ []byte) (*router.Table, error) {
 		return router.Build(version, nil, nil, router.Limits{})
 	}
-	entry, err := NewEntry(settings, gatekeeper.Headers{}, decode, list, logr.Discard())
+	entry, err := NewEntry(settings, gatekeeper.Headers{}, decode, listLeafs, logr.Discard())
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.eventually("the entry instance is ready", func() error {
-		if !entry.Ready() {
+	c.eventually("start of the entry instance", func() error {
+		if !entry.IsReady() {
 			return fmt.Errorf("not ready")
 		}
 		return nil
@@ -120,67 +121,72 @@
 	return entry
 }
 
-func (c *core) stop(members ...int) {
-	if len(members) == 0 {
-		members = []int{0, 1, 2, 3, 4}
+// stop stops the given instances, or the first five if none is given.
+func (c *testCluster) stop(indexes ...int) {
+	if len(indexes) == 0 {
+		indexes = []int{0, 1, 2, 3, 4}
 	}
-	for _, i := range members {
-		if i < len(c.running) && c.running[i] != nil {
-			c.running[i].Close()
-			c.running[i] = nil
+	for _, i := range indexes {
+		if i < len(c.controls) && c.controls[i] != nil {
+			c.controls[i].Close()
+			c.controls[i] = nil
 		}
 	}
 }
 
-func (c *core) wipe(members ...int) {
+// wipeDisks deletes the data folders of the given instances and clears IsBootstrap, because the deployment has started before.
+func (c *testCluster) wipeDisks(indexes ...int) {
 	c.t.Helper()
-	for _, i := range members {
+	for _, i := range indexes {
 		if err := os.RemoveAll(c.settings[i].DataFolder); err != nil {
 			c.t.Fatal(err)
 		}
 	}
 	for i := range c.settings {
-		c.settings[i].Founding = false
+		c.settings[i].IsBootstrap = false
 	}
 }
 
-// put sends a document to one instance until it is acknowledged.
-func (c *core) put(at int, version uint64, body string) {
+// putDocument sends a document to one instance repeatedly until it is acknowledged.
+func (c *testCluster) putDocument(index int, version uint64, body string) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("put version %d", version), func() error {
-		return c.running[at].PutDocument(version, []byte(body))
+		return c.controls[index].PutDocument(version, []byte(body))
 	})
 }
 
-func (c *core) expect(at int, version uint64, body string) {
+// expectDocument waits until one instance returns a document and checks that it is the given one.
+func (c *testCluster) expectDocument(index int, version uint64, body string) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("read version %d", version), func() error {
-		got, content, err := c.running[at].Document()
+		got, content, err := c.controls[index].Document()
 		if err != nil {
 			return err
 		}
 		if got != version || string(content) != body {
-			c.t.Fatalf("instance %d has version %d %q, want %d %q", at, got, content, version, body)
+			c.t.Fatalf("instance %d: got version %d %q, want version %d %q", index, got, content, version, body)
 		}
 		return nil
 	})
 }
 
-func (c *core) eventually(what string, try func() error) {
+// eventually calls check every 50 ms, up to 200 times, until it returns nil.
+func (c *testCluster) eventually(condition string, check func() error) {
 	c.t.Helper()
 	var err error
 	for range 200 {
-		if err = try(); err == nil {
+		if err = check(); err == nil {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("%s: %v", what, err)
+	c.t.Fatalf("%s: %v", condition, err)
 }
 
-func (c *core) voters(at int) map[string]bool {
+// voters returns the node IDs of the voters according to one instance.
+func (c *testCluster) voters(index int) map[string]bool {
 	client := controller.NewClient(controller.ClientConfig{
-		Addresses: []string{c.settings[at].linkAddress(c.settings[at].Host)}, Linker: linker.New(linker.NewSecret("test", nil)),
+		Addresses: []string{c.settings[index].peerAddress(c.settings[index].Host)}, Linker: linker.New(linker.NewSecret("test", nil)),
 		Now: func() time.Duration { return 0 }, Random: rand.New(rand.NewPCG(1, 1)), Timeline: timeliner.New("test", time.Now),
 	})
 	defer client.Close()
@@ -193,33 +199,33 @@
 	return voters
 }
 
-func TestFiveInstancesFindEachOtherThroughThreeSeeds(t *testing.T) {
-	c := newCore(t, 5)
+func TestFiveControlInstancesDiscoverEachOtherThroughThreeSeeds(t *testing.T) {
+	c := newTestCluster(t, 5)
 	c.start(4, 3, 2, 1, 0)
-	c.put(3, 7, "seven")
-	for i := range c.running {
-		c.expect(i, 7, "seven")
+	c.putDocument(3, 7, "seven")
+	for i := range c.controls {
+		c.expectDocument(i, 7, "seven")
 	}
 	if voters := c.voters(0); len(voters) != 5 {
-		t.Errorf("%d voters after the first acknowledgement, want 5", len(voters))
+		t.Errorf("got %d voters after the first acknowledgement, want 5", len(voters))
 	}
-	c.put(1, 5, "an older version is accepted and changes nothing")
-	c.put(2, 7, "other content of the same version changes nothing")
-	c.expect(4, 7, "seven")
+	c.putDocument(1, 5, "an older version is accepted and changes nothing")
+	c.putDocument(2, 7, "other content of the same version changes nothing")
+	c.expectDocument(4, 7, "seven")
 }
 
-func TestAcknowledgedDocumentSurvivesTwoLostDisksAndAPowerLoss(t *testing.T) {
-	c := newCore(t, 5)
+func TestAcknowledgedDocumentSurvivesPowerLossAndTwoLostDisks(t *testing.T) {
+	c := newTestCluster(t, 5)
 	c.start(0, 1, 2, 3, 4)
-	c.put(0, 7, "seven")
-	c.put(0, 8, "eight")
+	c.putDocument(0, 7, "seven")
+	c.putDocument(0, 8, "eight")
 	before := c.voters(1)
 	c.stop()
-	c.wipe(0, 2)
+	c.wipeDisks(0, 2)
 	c.start(0, 1, 2, 3, 4)
-	c.expect(0, 8, "eight")
-	c.put(2, 9, "nine")
-	c.eventually("the lost disks are replaced", func() error {
+	c.expectDocument(0, 8, "eight")
+	c.putDocument(2, 9, "nine")
+	c.eventually("replacement of the lost disks", func() error {
 		voters, kept := c.voters(1), 0
 		for id := range voters {
 			if before[id] {
@@ -227,174 +233,177 @@
 			}
 		}
 		if len(voters) != 5 || kept != 3 {
-			return fmt.Errorf("%d voters, %d of them with their old disk", len(voters), kept)
+			return fmt.Errorf("got %d voters, %d of them with their old disk; want 5 and 3", len(voters), kept)
 		}
 		return nil
 	})
 	c.stop()
-	c.wipe(1, 3)
+	c.wipeDisks(1, 3)
 	c.start(0, 1, 2, 3, 4)
-	c.expect(1, 9, "nine")
+	c.expectDocument(1, 9, "nine")
 }
 
-func TestReplacedInstanceTakesTheVoteOfTheLostOne(t *testing.T) {
-	c := newCore(t, 6)
+func TestNewInstanceReplacesLostVoter(t *testing.T) {
+	c := newTestCluster(t, 6)
 	c.start(0, 1, 2, 3, 4)
-	c.put(0, 7, "seven")
+	c.putDocument(0, 7, "seven")
 	c.stop(4)
-	c.settings[5].Founding = false
+	c.settings[5].IsBootstrap = false
 	c.start(5)
-	lost := c.settings[4].linkAddress(c.settings[4].Host)
-	c.eventually("the newcomer votes and the lost one does not", func() error {
+	lost := c.settings[4].peerAddress(c.settings[4].Host)
+	c.eventually("replacement of the lost voter", func() error {
 		voters := c.voters(1)
 		if len(voters) != 5 {
-			return fmt.Errorf("%d voters", len(voters))
+			return fmt.Errorf("got %d voters, want 5", len(voters))
 		}
 		for id := range voters {
 			if len(id) > len(lost) && id[:len(lost)+1] == lost+"/" {
-				return fmt.Errorf("%s still votes", id)
+				return fmt.Errorf("%s of the lost instance is still a voter", id)
 			}
 		}
 		return nil
 	})
-	c.expect(5, 7, "seven")
+	c.expectDocument(5, 7, "seven")
 	c.stop(5)
 }
 
-func TestMinorityAnswersNothing(t *testing.T) {
-	c := newCore(t, 5)
+func TestMinorityRefusesReadsAndWrites(t *testing.T) {
+	c := newTestCluster(t, 5)
 	c.start(0, 1, 2, 3, 4)
-	c.put(0, 7, "seven")
+	c.putDocument(0, 7, "seven")
 	c.stop(0, 1, 2)
-	c.eventually("the rest notices", func() error {
-		if _, _, err := c.running[3].Document(); err == nil {
-			return fmt.Errorf("two of five still answer")
+	c.eventually("refusal of reads by the minority", func() error {
+		if _, _, err := c.controls[3].Document(); err == nil {
+			return fmt.Errorf("a read succeeded on two of five instances")
 		}
 		return nil
 	})
-	if err := c.running[4].PutDocument(8, []byte("eight")); err == nil {
-		t.Error("two of five accepted a document")
+	if err := c.controls[4].PutDocument(8, []byte("eight")); err == nil {
+		t.Error("two of five instances accepted a document, want an error")
 	}
 }
 
-func TestEntryInstancesLearnRoutesDataCentresAndLeafs(t *testing.T) {
-	c := newCore(t, 5)
+func TestClientReceivesRoutesDataCentresAndLeafs(t *testing.T) {
+	c := newTestCluster(t, 5)
 	c.start(0, 1, 2, 3, 4)
-	c.put(0, 7, "seven")
-	if err := c.running[1].TakeOut("b"); err != nil {
+	c.putDocument(0, 7, "seven")
+	if err := c.controls[1].TakeOutOfService("b"); err != nil {
 		t.Fatal(err)
 	}
 	views := make(chan *tabulator.View, 100)
 	rosters := make(chan lister.Roster, 100)
-	began := time.Now()
+	startedAt := time.Now()
 	client := controller.NewClient(controller.ClientConfig{
-		Member: tabulator.MemberFields{Instance: "entry-1", Incarnation: 1, DataCentre: "a"}, Addresses: c.settings[0].seeds()[:1],
-		Linker: linker.New(linker.NewSecret("test", nil)), Now: func() time.Duration { return time.Since(began) },
+		Member: tabulator.MemberFields{Instance: "entry-1", Incarnation: 1, DataCentre: "a"}, Addresses: c.settings[0].seedAddresses()[:1],
+		Linker: linker.New(linker.NewSecret("test", nil)), Now: func() time.Duration { return time.Since(startedAt) },
 		Random: rand.New(rand.NewPCG(1, 1)), Timeline: timeliner.New("test", time.Now),
 		OnView:   func(view *tabulator.View) { views <- view },
 		OnRoster: func(roster lister.Roster) { rosters <- roster },
 	})
 	client.Run()
 	defer client.Close()
-	await(t, views, func(view *tabulator.View) bool {
+	awaitValue(t, views, func(view *tabulator.View) bool {
 		return view.Document().Version == 7 && view.DataCentre("b").State == tabulator.StateOut
 	})
-	await(t, rosters, func(roster lister.Roster) bool { return len(roster.Leafs) == 1 })
-	// The seed that the instance was told goes; it learnt the others.
+	awaitValue(t, rosters, func(roster lister.Roster) bool { return len(roster.Leafs) == 1 })
+	// The client knew only this seed at first, and must have learned the addresses of the other control instances since.
 	c.stop(0)
-	c.put(1, 8, "eight")
-	await(t, views, func(view *tabulator.View) bool { return view.Document().Version == 8 })
+	c.putDocument(1, 8, "eight")
+	awaitValue(t, views, func(view *tabulator.View) bool { return view.Document().Version == 8 })
 }
 
-func await[T any](t *testing.T, values chan T, good func(T) bool) {
+// awaitValue receives values until one matches.
+func awaitValue[T any](t *testing.T, values chan T, matches func(T) bool) {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
 	for {
 		select {
 		case value := <-values:
-			if good(value) {
+			if matches(value) {
 				return
 			}
 		case <-deadline:
-			t.Fatal("it did not come within 10 s")
+			t.Fatal("got no matching value within 10 s")
 		}
 	}
 }
 
-// All instances lost power: the first reading of a leader asks for all data centres at once.
-func TestFirstReadingOfTheListIsByDataCentre(t *testing.T) {
+// After a power loss of all instances, callers are served only once the list of leafs is known. The first fetch of a leader is
+// therefore split by data centre, and falls back to the complete list.
+func TestListByDataCentre(t *testing.T) {
 	cases := []struct {
-		name    string
-		centres []string
-		fails   string
-		want    int
+		name        string
+		dataCentres []string
+		failing     string
+		want        int
 	}{
 		{"two data centres", []string{"a", "b"}, "", 2},
-		{"one part fails", []string{"a", "b"}, "b", 3},
-		{"no data centre is known", nil, "", 3},
+		{"one data centre fails", []string{"a", "b"}, "b", 3},
+		{"no known data centre", nil, "", 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			control := &Control{settings: Settings{DataCentres: c.centres}, list: func(centre string) ([]lister.RosterLeaf, int, error) {
+			control := &Control{settings: Settings{DataCentres: c.dataCentres}, listLeafs: func(dataCentre string) ([]lister.RosterLeaf, int, error) {
 				switch {
-				case centre != "" && centre == c.fails:
+				case dataCentre != "" && dataCentre == c.failing:
 					return nil, 1, fmt.Errorf("refused")
-				case centre == "":
+				case dataCentre == "":
 					return make([]lister.RosterLeaf, 3), 2, nil
 				}
 				return make([]lister.RosterLeaf, 1), 1, nil
 			}}
 			leafs, _, err := control.listByDataCentre("")
 			if err != nil || len(leafs) != c.want {
-				t.Errorf("got %d leafs, %v, want %d", len(leafs), err, c.want)
+				t.Errorf("got %d leafs, error %v; want %d leafs", len(leafs), err, c.want)
 			}
 		})
 	}
 }
 
-func TestDocumentKeepsItsBytes(t *testing.T) {
+func TestCompressionRoundTrip(t *testing.T) {
 	for _, body := range []string{"", "{}", "x\x00\xff", string(make([]byte, 300_000))} {
-		packed, err := compress([]byte(body))
+		compressed, err := compress([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := expand(packed); err != nil || string(got) != body {
-			t.Errorf("%d bytes became %d, %v", len(body), len(got), err)
+		if got, err := decompress(compressed); err != nil || string(got) != body {
+			t.Errorf("compressed %d bytes: got %d bytes, error %v; want the same bytes", len(body), len(got), err)
 		}
 	}
-	if _, err := expand([]byte("no deflated bytes")); err == nil {
-		t.Error("other bytes were expanded")
+	if _, err := decompress([]byte("no deflated bytes")); err == nil {
+		t.Error("data that was not compressed was decompressed, want an error")
 	}
 }
 
-// An entry instance learns that a leaf leaves also where control instances hand on no list that was read lately.
-func TestEntryInstanceReadsTheListItself(t *testing.T) {
+// Guards against requests to draining leafs while the control instances provide no current list of leafs: the entry instance must
+// fetch the list itself.
+func TestEntryListsLeafsWhenRosterIsOld(t *testing.T) {
 	cases := []struct {
 		name string
-		// calm is how long control instances read the list before they no longer do.
-		calm time.Duration
-		lose func(c *core)
+		// listedFor is the time for which the control instances fetch the list before the failure.
+		listedFor time.Duration
+		fail      func(c *testCluster)
 	}{
-		{"control instances grant leases, but cannot read the list", 2 * defaultDrainBound, func(c *core) { c.listFails.Store(true) }},
-		{"all control instances are gone", 0, func(c *core) { c.stop() }},
+		{"control instances grant leases but cannot fetch the list", 2 * defaultMaxDrainDelay, func(c *testCluster) { c.isListFailing.Store(true) }},
+		{"all control instances are down", 0, func(c *testCluster) { c.stop() }},
 	}
-	for _, k := range cases {
-		t.Run(k.name, func(t *testing.T) {
-			c := newCore(t, 5)
+	for _, tt := range cases {
+		t.Run(tt.name, func(t *testing.T) {
+			c := newTestCluster(t, 5)
 			c.start(0, 1, 2, 3, 4)
-			c.put(0, 7, "seven")
-			var reads atomic.Int64
-			entry := c.readyEntry(func(string) ([]lister.RosterLeaf, int, error) {
-				reads.Add(1)
+			c.putDocument(0, 7, "seven")
+			var listCalls atomic.Int64
+			entry := c.startEntry(func(string) ([]lister.RosterLeaf, int, error) {
+				listCalls.Add(1)
 				return nil, 1, nil
 			})
 			defer entry.Shutdown()
-			time.Sleep(k.calm)
-			if reads.Load() != 0 {
-				t.Error("it read the list while control instances handed it on")
+			time.Sleep(tt.listedFor)
+			if listCalls.Load() != 0 {
+				t.Error("the entry instance fetched the list although the control instances provided it")
 			}
-			k.lose(c)
-			c.awaitFirstReading(&reads)
+			tt.fail(c)
+			c.awaitFirstListCall(&listCalls)
 		})
 	}
 }
