--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -17,7 +17,7 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-type callers struct {
+type testServer struct {
 	server   *Server
 	client   *fasthttp.Client
 	listener *fasthttputil.InmemoryListener
@@ -25,12 +25,12 @@
 	requests []dispatcher.Request
 }
 
-func serve(t *testing.T, pass Pass) *callers {
+func startServer(t *testing.T, forwardTicket ForwardTicket) *testServer {
 	t.Helper()
-	c := &callers{listener: fasthttputil.NewInmemoryListener()}
+	c := &testServer{listener: fasthttputil.NewInmemoryListener()}
 	c.server = New(Config{
-		Self: tabulator.MemberID{Instance: "entry-1", Incarnation: 7}, Now: func() time.Duration { return 0 }, Pass: pass,
-		Unready: func() string { return "no-lease" },
+		Self: tabulator.MemberID{Instance: "entry-1", Incarnation: 7}, Now: func() time.Duration { return 0 }, ForwardTicket: forwardTicket,
+		UnreadyReason: func() string { return "no-lease" },
 		Run: func(_ context.Context, request dispatcher.Request) dispatcher.Result {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	return c
 }
 
-func (c *callers) post(t *testing.T, path, body string) (int, string) {
+func (c *testServer) post(t *testing.T, path, body string) (int, string) {
 	t.Helper()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -63,32 +63,32 @@
 	return response.StatusCode(), string(response.Body())
 }
 
-func TestBadBodies(t *testing.T) {
-	c := serve(t, nil)
+func TestQueryInvalidBody(t *testing.T) {
+	c := startServer(t, nil)
 	tests := []struct {
 		name   string
 		body   string
 		status int
 	}{
-		{"no JSON", "{", 400},
+		{"invalid JSON", "{", 400},
 		{"no service", `{"services":[]}`, 400},
-		{"deadline in the past", `{"services":["s"],"deadline-ms":0}`, 400},
-		{"coverage out of range", `{"services":["s"],"min-coverage":1.5}`, 400},
-		{"text too long", `{"services":["s"],"text":"` + strings.Repeat("x", maxText+1) + `"}`, 400},
-		{"bad ticket", `{"services":["s"],"ticket":"x"}`, 400},
+		{"deadline not positive", `{"services":["s"],"deadline-ms":0}`, 400},
+		{"coverage above 1", `{"services":["s"],"min-coverage":1.5}`, 400},
+		{"text too long", `{"services":["s"],"text":"` + strings.Repeat("x", maxTextBytes+1) + `"}`, 400},
+		{"invalid ticket", `{"services":["s"],"ticket":"x"}`, 400},
 	}
 	for _, test := range tests {
 		if status, body := c.post(t, "/query", test.body); status != test.status {
-			t.Errorf("%s: status %d, want %d: %s", test.name, status, test.status, body)
+			t.Errorf("%s: got status %d, want %d: %s", test.name, status, test.status, body)
 		}
 	}
 	if len(c.requests) != 0 {
-		t.Errorf("%d bad queries were run", len(c.requests))
+		t.Errorf("got %d invalid queries run, want none", len(c.requests))
 	}
 }
 
-func TestNothingOfARecycledBodyIsKept(t *testing.T) {
-	c := serve(t, nil)
+func TestQueryCopiesRecycledBody(t *testing.T) {
+	c := startServer(t, nil)
 	texts := []string{"aaaa", "bbbb", "cccc", "dddd"}
 	for _, text := range texts {
 		c.post(t, "/query", `{"caller":"`+text+`","services":["`+text+`"],"text":"`+text+`"}`)
@@ -96,57 +96,59 @@
 	for i, text := range texts {
 		request := c.requests[i]
 		if request.Text != text || request.Caller != text || request.Services[0] != text {
-			t.Errorf("request %d has become %+v", i, request)
+			t.Errorf("request %d: got %+v after its body was reused, want %q in all fields", i, request, text)
 		}
 	}
 }
 
-func TestTicketRunsOnce(t *testing.T) {
-	c := serve(t, nil)
+func TestTicketRunsQueryOnce(t *testing.T) {
+	c := startServer(t, nil)
 	_, body := c.post(t, "/ticket", "")
 	ticket := strings.Split(body, `"`)[3]
 	for range 3 {
 		if status, answer := c.post(t, "/query", `{"services":["s"],"ticket":"`+ticket+`"}`); status != 200 {
-			t.Fatalf("status %d: %s", status, answer)
+			t.Fatalf("got status %d, want 200: %s", status, answer)
 		}
 	}
 	if len(c.requests) != 1 {
-		t.Fatalf("run %d times", len(c.requests))
+		t.Fatalf("got %d runs of one ticket, want 1", len(c.requests))
 	}
 }
 
-func TestTicketOfAnIncarnationThatIsGone(t *testing.T) {
-	c := serve(t, func(tabulator.MemberID, string, []byte) ([]byte, error) { return nil, errors.New("gone") })
+func TestTicketOfLostIncarnation(t *testing.T) {
+	c := startServer(t, func(tabulator.MemberID, string, []byte) ([]byte, error) {
+		return nil, errors.New("incarnation is gone")
+	})
 	status, body := c.post(t, "/query", `{"services":["s"],"ticket":"entry-2.9.1.1"}`)
 	if status != 502 || !strings.Contains(body, string(coordinator.OutcomeFailed)) {
-		t.Fatalf("status %d: %s", status, body)
+		t.Fatalf("got status %d, want 502 with outcome %s: %s", status, coordinator.OutcomeFailed, body)
 	}
 	if len(c.requests) != 0 {
-		t.Fatal("it was run here")
+		t.Fatal("got the query run by another incarnation, want it not run")
 	}
 }
 
-func TestUnreadySaysWhy(t *testing.T) {
-	c := serve(t, nil)
+func TestReadyReportsReason(t *testing.T) {
+	c := startServer(t, nil)
 	status, body, err := c.client.Get(nil, "http://entry/ready")
 	if err != nil || status != 503 || !strings.Contains(string(body), "no-lease") {
-		t.Fatalf("status %d: %s, %v", status, body, err)
+		t.Fatalf("got status %d, want 503 with reason no-lease: %s, %v", status, body, err)
 	}
 }
 
-func TestBodyTooLargeIsNotRun(t *testing.T) {
-	c := serve(t, nil)
+func TestQueryBodyTooLarge(t *testing.T) {
+	c := startServer(t, nil)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://entry/query")
 	request.Header.SetMethod("POST")
-	request.SetBodyString(strings.Repeat("x", maxBody+1))
+	request.SetBodyString(strings.Repeat("x", maxBodyBytes+1))
 	// The server may close the connection before it has read the body.
 	if err := c.client.Do(request, response); err == nil && response.StatusCode() != 413 {
-		t.Fatalf("status %d", response.StatusCode())
+		t.Fatalf("got status %d, want 413", response.StatusCode())
 	}
 	if len(c.requests) != 0 {
-		t.Fatal("it was run")
+		t.Fatal("got the query run, want it rejected")
 	}
 }
--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -12,10 +12,10 @@
 const clientTimeout = 70 * time.Second
 
 type (
-	// ClientOption sets up a Client.
+	// ClientOption configures a Client.
 	ClientOption func(*Client)
 
-	// Client sends queries to one instance.
+	// Client sends queries to the API of one instance.
 	Client struct {
 		address string
 		scheme  string
@@ -23,7 +23,7 @@
 	}
 )
 
-// WithClientTLS makes the client use TLS.
+// WithClientTLS returns an option that makes the client use HTTPS with the given configuration.
 func WithClientTLS(config *tls.Config) ClientOption {
 	return func(c *Client) {
 		c.scheme = "https"
@@ -31,7 +31,7 @@
 	}
 }
 
-// NewClient returns a client of the instance at address.
+// NewClient returns a client for the instance at address, which is a host with a port.
 func NewClient(address string, options ...ClientOption) *Client {
 	client := &Client{address: address, scheme: "http", http: fasthttp.Client{MaxConnsPerHost: 4096}}
 	for _, option := range options {
@@ -40,46 +40,46 @@
 	return client
 }
 
-// Query sends a query and returns its answer, which may be a refusal.
+// Query sends a query and returns its answer, or an error if the instance rejected the request or sent no valid response.
 func (c *Client) Query(query Query) (Answer, error) {
 	var answer Answer
 	body, err := json.Marshal(query)
 	if err != nil {
 		return answer, errors.Wrap(err, "encode query")
 	}
-	content, err := c.post("/query", body)
+	responseBody, err := c.post("/query", body)
 	if err != nil {
 		return answer, err
 	}
 	var refusal struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(content, &refusal) == nil && refusal.Error != "" {
+	if json.Unmarshal(responseBody, &refusal) == nil && refusal.Error != "" {
 		return answer, errors.Errorf("instance %s: %s", c.address, refusal.Error)
 	}
-	return answer, errors.Wrapf(json.Unmarshal(content, &answer), "decode the answer of instance %s", c.address)
+	return answer, errors.Wrapf(json.Unmarshal(responseBody, &answer), "decode response of instance %s", c.address)
 }
 
-// Ticket asks for a ticket, under which a query can be sent again safely.
-func (c *Client) Ticket() (string, error) {
-	content, err := c.post("/ticket", nil)
+// NewTicket requests a ticket, under which a query runs at most once and can be sent again safely.
+func (c *Client) NewTicket() (string, error) {
+	responseBody, err := c.post("/ticket", nil)
 	if err != nil {
 		return "", err
 	}
-	var body struct {
+	var reply struct {
 		Ticket string `json:"ticket"`
 		Error  string `json:"error"`
 	}
-	if err := json.Unmarshal(content, &body); err != nil {
-		return "", errors.Wrapf(err, "decode the answer of instance %s", c.address)
+	if err := json.Unmarshal(responseBody, &reply); err != nil {
+		return "", errors.Wrapf(err, "decode response of instance %s", c.address)
 	}
-	if body.Ticket == "" {
-		return "", errors.Errorf("instance %s: %s", c.address, body.Error)
+	if reply.Ticket == "" {
+		return "", errors.Errorf("instance %s: %s", c.address, reply.Error)
 	}
-	return body.Ticket, nil
+	return reply.Ticket, nil
 }
 
-// Close closes idle connections.
+// Close closes the idle connections of the client.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 func (c *Client) post(path string, body []byte) ([]byte, error) {
@@ -91,7 +91,7 @@
 	request.Header.SetContentType("application/json")
 	request.SetBody(body)
 	if err := c.http.DoTimeout(request, response, clientTimeout); err != nil {
-		return nil, errors.Wrapf(err, "ask instance %s", c.address)
+		return nil, errors.Wrapf(err, "send request to instance %s", c.address)
 	}
 	return append([]byte(nil), response.Body()...), nil
 }
--- a/pkg/caller/doc.go
+++ b/pkg/caller/doc.go
@@ -1,2 +1,2 @@
-// Package caller takes queries from callers over HTTP and answers them.
+// Package caller implements the HTTP API for queries: its server and a client.
 package caller
--- a/pkg/caller/server.go
+++ b/pkg/caller/server.go
@@ -18,26 +18,31 @@
 )
 
 const (
-	readTimeout = 10 * time.Second
-	idleTimeout = 2 * time.Minute
-	pollPause   = 2 * time.Millisecond
+	readTimeout  = 10 * time.Second
+	idleTimeout  = 2 * time.Minute
+	pollInterval = 2 * time.Millisecond
 )
 
 type (
-	// Pass hands a request with a ticket to the incarnation that granted it.
-	Pass func(to tabulator.MemberID, ticket string, request []byte) ([]byte, error)
+	// ForwardTicket sends a query to the incarnation that granted its ticket and returns the encoded answer, or an error if
+	// that incarnation has ended or did not answer.
+	ForwardTicket func(to tabulator.MemberID, ticket string, request []byte) ([]byte, error)
 
-	// Config is what a Server needs of its instance.
+	// Config holds the dependencies of a Server.
 	Config struct {
-		Self    tabulator.MemberID
-		Run     func(ctx context.Context, request dispatcher.Request) dispatcher.Result
-		Unready func() string
-		Pass    Pass
-		Now     func() time.Duration
-		TLS     *tls.Config
+		// Self identifies the incarnation that grants the tickets of this server.
+		Self tabulator.MemberID
+		Run  func(ctx context.Context, request dispatcher.Request) dispatcher.Result
+		// UnreadyReason returns the reason why the instance accepts no queries, or an empty string if it accepts them.
+		UnreadyReason func() string
+		ForwardTicket ForwardTicket
+		// Now returns the current time of a monotonic clock.
+		Now func() time.Duration
+		// TLS is the configuration for HTTPS; nil selects plain HTTP.
+		TLS *tls.Config
 	}
 
-	// Server answers callers.
+	// Server serves the HTTP API for queries.
 	Server struct {
 		*acceptor.Acceptor
 		config  Config
@@ -46,21 +51,22 @@
 	}
 )
 
-// New returns a server; Serve starts it.
+// New returns a server that accepts no connections until Serve is called.
 func New(config Config) *Server {
 	server := &Server{config: config, tickets: ticketer.New(config.Self)}
 	app := fiber.New(fiber.Config{
-		BodyLimit: maxBody, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, ErrorHandler: answerError,
+		BodyLimit: maxBodyBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, ErrorHandler: sendError,
 	})
 	app.Post("/query", server.onQuery)
-	app.Post("/ticket", server.onTicket)
+	app.Post("/ticket", server.onNewTicket)
 	app.Get("/ready", server.onReady)
 	app.Get("/health", func(c fiber.Ctx) error { return c.SendString("ok") })
 	server.Acceptor = acceptor.New(app, config.TLS)
 	return server
 }
 
-// RunTicket runs a request whose ticket this incarnation granted, or returns its first outcome.
+// RunTicket runs the query in body under a ticket that this incarnation granted, or waits for the earlier run under that
+// ticket, and returns the encoded answer, or an error if the query or the ticket is invalid.
 func (s *Server) RunTicket(ticket string, body []byte) ([]byte, error) {
 	query, err := Decode(body)
 	if err != nil {
@@ -76,19 +82,19 @@
 		case phase == ticketer.PhaseDone:
 			return outcome, nil
 		case phase == ticketer.PhaseExpired:
-			return json.Marshal(gone("the ticket has expired"))
+			return json.Marshal(unknownOutcome("the ticket has expired"))
 		case phase == ticketer.PhaseNew:
-			return s.runFirst(ticket, query)
+			return s.runAndRecord(ticket, query)
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (s *Server) runFirst(ticket string, query Query) ([]byte, error) {
-	answer := toAnswer(s.config.Run(context.Background(), query.request()))
+func (s *Server) runAndRecord(ticket string, query Query) ([]byte, error) {
+	answer := newAnswer(s.config.Run(context.Background(), query.toRequest()))
 	outcome, err := json.Marshal(answer)
 	if err != nil {
-		outcome, err = json.Marshal(gone("the answer could not be encoded"))
+		outcome, err = json.Marshal(unknownOutcome("the answer could not be encoded"))
 	}
 	s.mu.Lock()
 	s.tickets.Finish(ticket, outcome)
@@ -97,7 +103,7 @@
 }
 
 func (s *Server) onQuery(c fiber.Ctx) error {
-	// The body is recycled after the handler, so everything that is kept is copied by Decode.
+	// The server reuses the buffer of the body once the handler has returned. Decode copies all values that the query keeps.
 	query, err := Decode(c.Body())
 	if err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, err.Error())
@@ -105,7 +111,7 @@
 	if query.Ticket != "" {
 		return s.onTicketQuery(c, query)
 	}
-	return send(c, toAnswer(s.config.Run(context.Background(), query.request())))
+	return sendAnswer(c, newAnswer(s.config.Run(context.Background(), query.toRequest())))
 }
 
 func (s *Server) onTicketQuery(c fiber.Ctx, query Query) error {
@@ -114,25 +120,25 @@
 		return fiber.NewError(fiber.StatusBadRequest, err.Error())
 	}
 	body := append([]byte(nil), c.Body()...)
-	outcome, err := s.routeTicket(owner, query.Ticket, body)
+	outcome, err := s.runOrForward(owner, query.Ticket, body)
 	if err != nil {
-		return send(c, gone(err.Error()))
+		return sendAnswer(c, unknownOutcome(err.Error()))
 	}
 	var answer Answer
 	if err := json.Unmarshal(outcome, &answer); err != nil {
-		return send(c, gone("the outcome could not be read"))
+		return sendAnswer(c, unknownOutcome("the outcome could not be read"))
 	}
-	return send(c, answer)
+	return sendAnswer(c, answer)
 }
 
-func (s *Server) routeTicket(owner tabulator.MemberID, ticket string, body []byte) ([]byte, error) {
+func (s *Server) runOrForward(owner tabulator.MemberID, ticket string, body []byte) ([]byte, error) {
 	if owner == s.config.Self {
 		return s.RunTicket(ticket, body)
 	}
-	return s.config.Pass(owner, ticket, body)
+	return s.config.ForwardTicket(owner, ticket, body)
 }
 
-func (s *Server) onTicket(c fiber.Ctx) error {
+func (s *Server) onNewTicket(c fiber.Ctx) error {
 	s.mu.Lock()
 	ticket, err := s.tickets.Grant(s.config.Now())
 	s.mu.Unlock()
@@ -145,26 +151,26 @@
 }
 
 func (s *Server) onReady(c fiber.Ctx) error {
-	if reason := s.config.Unready(); reason != "" {
+	if reason := s.config.UnreadyReason(); reason != "" {
 		return fiber.NewError(fiber.StatusServiceUnavailable, "not ready: "+reason)
 	}
 	return c.SendString("ready")
 }
 
-// gone is the answer where the first send of a request may have run and its outcome cannot be learnt.
-func gone(reason string) Answer {
+// unknownOutcome returns the answer to a query that may have run but whose result is not available.
+func unknownOutcome(reason string) Answer {
 	return Answer{Outcome: string(coordinator.OutcomeFailed), Reason: reason}
 }
 
-func send(c fiber.Ctx, answer Answer) error {
+func sendAnswer(c fiber.Ctx, answer Answer) error {
 	if answer.RetryAfterMs > 0 {
 		seconds := (answer.RetryAfterMs + 999) / 1000
 		c.Set(fiber.HeaderRetryAfter, strconv.FormatInt(seconds, 10))
 	}
-	return c.Status(status(answer)).JSON(answer)
+	return c.Status(httpStatus(answer)).JSON(answer)
 }
 
-func status(answer Answer) int {
+func httpStatus(answer Answer) int {
 	switch coordinator.Outcome(answer.Outcome) {
 	case coordinator.OutcomeComplete, coordinator.OutcomePartial:
 		return fiber.StatusOK
@@ -177,7 +183,7 @@
 	return fiber.StatusBadGateway
 }
 
-func answerError(c fiber.Ctx, err error) error {
+func sendError(c fiber.Ctx, err error) error {
 	return c.Status(acceptor.StatusOf(err)).JSON(struct {
 		Outcome string `json:"outcome"`
 		Error   string `json:"error"`
--- a/pkg/caller/wire.go
+++ b/pkg/caller/wire.go
@@ -1,9 +1,9 @@
-// The wire form towards callers is HTTP with JSON bodies:
+// The API for queries is HTTP with JSON bodies:
 //
 //	POST /query   {"caller":"desk-1","services":["customs-desk-01"],"text":"fig","deadline-ms":52,"idempotent":true}
 //	POST /ticket  -> {"ticket":"entry-1.5f3a.12.61000"}
-//	GET  /ready   200 while the instance takes queries, 503 otherwise
-//	GET  /health  200 while the process runs
+//	GET  /ready   200 while the instance accepts queries, 503 otherwise
+//	GET  /health  200 while the process is running
 
 package caller
 
@@ -18,14 +18,14 @@
 )
 
 const (
-	maxServices = 4096
-	maxText     = 64 << 10
-	maxCaller   = 200
-	maxBody     = 1 << 20
+	maxServices    = 4096
+	maxTextBytes   = 64 << 10
+	maxCallerBytes = 200
+	maxBodyBytes   = 1 << 20
 )
 
 type (
-	// Query is the body of a query.
+	// Query is the request body of POST /query.
 	Query struct {
 		Caller      string   `json:"caller"`
 		Services    []string `json:"services"`
@@ -36,42 +36,42 @@
 		Ticket      string   `json:"ticket,omitempty"`
 	}
 
-	// Missing is a shard without an answer.
-	Missing struct {
+	// MissingShard is a shard whose result is missing from an answer.
+	MissingShard struct {
 		Service string `json:"service"`
 		Shard   int    `json:"shard"`
 		Reason  string `json:"reason"`
 	}
 
-	// Coverage is the answered share of the shards of one version.
+	// Coverage reports how many of the shards of one index version answered.
 	Coverage struct {
-		Answered int       `json:"answered"`
-		Total    int       `json:"total"`
-		Missing  []Missing `json:"missing,omitempty"`
+		Answered int            `json:"answered"`
+		Total    int            `json:"total"`
+		Missing  []MissingShard `json:"missing,omitempty"`
 	}
 
-	// Part is what one shard answered.
-	Part struct {
+	// ShardResult is the result of one shard.
+	ShardResult struct {
 		Service string          `json:"service"`
 		Shard   int             `json:"shard"`
 		Hits    json.RawMessage `json:"hits"`
 	}
 
-	// Answer is the body of an answer.
+	// Answer is the response body of POST /query.
 	Answer struct {
-		ID           string   `json:"id"`
-		Outcome      string   `json:"outcome"`
-		Reason       string   `json:"reason,omitempty"`
-		Index        string   `json:"index,omitempty"`
-		Version      uint64   `json:"version,omitempty"`
-		Coverage     Coverage `json:"coverage"`
-		Parts        []Part   `json:"parts,omitempty"`
-		TookMs       float64  `json:"took-ms"`
-		RetryAfterMs int64    `json:"retry-after-ms,omitempty"`
+		ID           string        `json:"id"`
+		Outcome      string        `json:"outcome"`
+		Reason       string        `json:"reason,omitempty"`
+		Index        string        `json:"index,omitempty"`
+		Version      uint64        `json:"version,omitempty"`
+		Coverage     Coverage      `json:"coverage"`
+		Parts        []ShardResult `json:"parts,omitempty"`
+		TookMs       float64       `json:"took-ms"`
+		RetryAfterMs int64         `json:"retry-after-ms,omitempty"`
 	}
 )
 
-// Decode checks the body of a query; an error says what to correct.
+// Decode decodes and validates the body of a query and returns an error that names the value to correct.
 func Decode(body []byte) (Query, error) {
 	var query Query
 	if err := json.Unmarshal(body, &query); err != nil {
@@ -79,22 +79,22 @@
 	}
 	switch {
 	case len(query.Services) == 0:
-		return query, errors.New("decode query: services names no service")
+		return query, errors.New("decode query: services is empty, expected at least one service")
 	case len(query.Services) > maxServices:
 		return query, errors.Errorf("decode query: %d services, at most %d are allowed", len(query.Services), maxServices)
-	case len(query.Text) > maxText:
-		return query, errors.Errorf("decode query: text has %d bytes, at most %d are allowed", len(query.Text), maxText)
-	case len(query.Caller) > maxCaller:
-		return query, errors.Errorf("decode query: caller has %d bytes, at most %d are allowed", len(query.Caller), maxCaller)
+	case len(query.Text) > maxTextBytes:
+		return query, errors.Errorf("decode query: text has %d bytes, at most %d are allowed", len(query.Text), maxTextBytes)
+	case len(query.Caller) > maxCallerBytes:
+		return query, errors.Errorf("decode query: caller has %d bytes, at most %d are allowed", len(query.Caller), maxCallerBytes)
 	case query.DeadlineMs != nil && !(*query.DeadlineMs > 0):
-		return query, errors.Errorf("decode query: deadline-ms is %g and has already passed", *query.DeadlineMs)
+		return query, errors.Errorf("decode query: deadline-ms is %g, expected more than 0", *query.DeadlineMs)
 	case query.MinCoverage != nil && !(*query.MinCoverage >= 0 && *query.MinCoverage <= 1):
 		return query, errors.Errorf("decode query: min-coverage is %g, expected 0 to 1", *query.MinCoverage)
 	}
 	return query, nil
 }
 
-func (q Query) request() dispatcher.Request {
+func (q Query) toRequest() dispatcher.Request {
 	request := dispatcher.Request{
 		Caller: q.Caller, Weight: 1, Services: dispatcher.SortServices(q.Services), Text: q.Text,
 		MinCoverage: q.MinCoverage, Idempotent: q.Idempotent,
@@ -105,7 +105,7 @@
 	return request
 }
 
-func toAnswer(result dispatcher.Result) Answer {
+func newAnswer(result dispatcher.Result) Answer {
 	answer := Answer{
 		ID: result.ID, Outcome: string(result.Answer.Outcome), Reason: result.Answer.Reason,
 		Index: result.Answer.Version.Index, Version: result.Answer.Version.Number,
@@ -114,20 +114,21 @@
 		RetryAfterMs: result.RetryAfter.Milliseconds(),
 	}
 	for _, missing := range result.Answer.Missing {
-		answer.Coverage.Missing = append(answer.Coverage.Missing, Missing{
+		answer.Coverage.Missing = append(answer.Coverage.Missing, MissingShard{
 			Service: missing.Shard.Service, Shard: missing.Shard.Number, Reason: missing.Reason,
 		})
 	}
-	if !hasParts(result.Answer.Outcome) {
+	if !includesParts(result.Answer.Outcome) {
 		return answer
 	}
 	for _, part := range result.Answer.Parts {
-		answer.Parts = append(answer.Parts, Part{Service: part.Shard.Service, Shard: part.Shard.Number, Hits: part.Body})
+		answer.Parts = append(answer.Parts, ShardResult{Service: part.Shard.Service, Shard: part.Shard.Number, Hits: part.Body})
 	}
 	return answer
 }
 
-// hasParts tells whether an answer of this outcome gives results; a failed one gives none.
-func hasParts(outcome coordinator.Outcome) bool {
+// includesParts reports whether an answer with this outcome includes the results of shards. An answer that failed or was
+// refused includes none.
+func includesParts(outcome coordinator.Outcome) bool {
 	return outcome == coordinator.OutcomeComplete || outcome == coordinator.OutcomePartial
 }
--- a/pkg/commander/change.go
+++ b/pkg/commander/change.go
@@ -29,7 +29,7 @@
 }
 
 // send sends a change, again under the same id while its outcome is unknown, and waits until it is in force.
-func send(command *cli.Command, client *operator.Client, try func(id, who string) (operator.Change, error)) error {
+func send(command *cli.Command, client *operator.Client, try func(id, who string) (operator.ChangeResult, error)) error {
 	id := command.String("change-id")
 	if id == "" {
 		var err error
@@ -56,8 +56,8 @@
 	return awaitInForce(command, client, change.Revision)
 }
 
-func trySeveralTimes(id, who string, try func(id, who string) (operator.Change, error)) (operator.Change, error) {
-	var change operator.Change
+func trySeveralTimes(id, who string, try func(id, who string) (operator.ChangeResult, error)) (operator.ChangeResult, error) {
+	var change operator.ChangeResult
 	var err error
 	for range changeTries {
 		change, err = try(id, who)
@@ -76,7 +76,7 @@
 	return change, err
 }
 
-func explainChange(change operator.Change) error {
+func explainChange(change operator.ChangeResult) error {
 	switch change.Outcome {
 	case operator.OutcomeAccepted:
 		return nil
@@ -89,7 +89,7 @@
 		return errors.Errorf("%s\n%s", message, change.Advice)
 	}
 	message := string(change.Outcome)
-	for _, fault := range change.Faults {
+	for _, fault := range change.Errors {
 		message += "\n  " + fault
 	}
 	return errors.New(message)
@@ -100,14 +100,14 @@
 	told := false
 	for time.Since(begun) < inForceWait {
 		reply, err := client.InForce(revision)
-		if err == nil && reply.Everywhere {
+		if err == nil && reply.IsEverywhere {
 			_, err := fmt.Fprintf(command.Root().Writer, "in force: on %d/%d instances after %s\n",
-				reply.Acting, reply.Members, time.Since(begun).Round(time.Millisecond))
+				reply.UpToDate, reply.Members, time.Since(begun).Round(time.Millisecond))
 			return err
 		}
 		if time.Since(begun) > 2*time.Second && !told {
 			told = true
-			progress("in force on %d/%d so far, waiting for the leases of the others", reply.Acting, reply.Members)
+			progress("in force on %d/%d so far, waiting for the leases of the others", reply.UpToDate, reply.Members)
 		}
 		time.Sleep(inForcePause)
 	}
--- a/pkg/commander/flags.go
+++ b/pkg/commander/flags.go
@@ -96,7 +96,7 @@
 	}
 	clients := []*operator.Client{}
 	for _, member := range status.Members {
-		clients = append(clients, client.At(member.OperatorAddress))
+		clients = append(clients, client.WithAddress(member.OperatorAddress))
 	}
 	if len(clients) == 0 {
 		clients = append(clients, client)
--- a/pkg/commander/verb_data_centre.go
+++ b/pkg/commander/verb_data_centre.go
@@ -42,7 +42,7 @@
 	if !known {
 		return usagef("no row or instance names data centre %q", name)
 	}
-	return send(command, client, func(id, who string) (operator.Change, error) {
+	return send(command, client, func(id, who string) (operator.ChangeResult, error) {
 		return client.SetDataCentre(tabulator.SetDataCentre{ChangeID: id, Operator: who, Name: name, State: state, Base: base})
 	})
 }
--- a/pkg/commander/verb_explain.go
+++ b/pkg/commander/verb_explain.go
@@ -65,11 +65,11 @@
 			return err
 		}
 	}
-	if len(course.Steps()) == 0 {
+	if len(course.Entries()) == 0 {
 		return errors.Errorf("no log names request %q; successful requests beyond the rate of the log are left out", id)
 	}
 	w := command.Root().Writer
-	if _, err := fmt.Fprintln(w, course.Sentence()); err != nil {
+	if _, err := fmt.Fprintln(w, course.Summary()); err != nil {
 		return err
 	}
 	for _, line := range course.Lines() {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func readLog(course *explainer.Course, path string) error {
+func readLog(course *explainer.RequestLog, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return errors.Wrap(err, "open the log")
@@ -122,7 +122,7 @@
 	}
 	sheet := printer.NewSheet("kind", "service", "shard", "leaf", "data-centre", "owner", "start", "total", "queue", "connect", "leaf-time", "result")
 	for _, s := range trace.Spans {
-		sheet.Add(s.Kind, s.Service, fmt.Sprint(s.Shard), s.Leaf, s.DataCentre, s.Owner, s.Start.String(), s.Total.String(),
+		sheet.Add(s.Kind, s.Service, fmt.Sprint(s.Shard), s.Leaf, s.DataCentre, s.Owner, s.Start.String(), s.Duration.String(),
 			s.Queue.String(), s.Connect.String(), s.LeafTime.String(), s.Result)
 	}
 	return printer.Print(w, format, sheet, struct {
--- a/pkg/commander/verb_query.go
+++ b/pkg/commander/verb_query.go
@@ -58,7 +58,7 @@
 		query.MinCoverage = &coverage
 	}
 	if command.Bool("with-ticket") {
-		if query.Ticket, err = client.Ticket(); err != nil {
+		if query.Ticket, err = client.NewTicket(); err != nil {
 			return err
 		}
 		progress("ticket %s", query.Ticket)
--- a/pkg/commander/verb_status.go
+++ b/pkg/commander/verb_status.go
@@ -32,7 +32,7 @@
 	}
 	statuses := []operator.Status{}
 	for _, member := range first.Members {
-		status, err := client.At(member.OperatorAddress).Status()
+		status, err := client.WithAddress(member.OperatorAddress).Status()
 		if err != nil {
 			status = operator.Status{Instance: member.Instance, DataCentre: member.DataCentre}
 		}
@@ -61,10 +61,10 @@
 	sheet := printer.NewSheet("instance", "data-centre", "ready", "revision", "epoch", "leafs-owned", "queries-open")
 	for _, s := range statuses {
 		ready := "yes"
-		if !s.Ready {
+		if !s.IsReady {
 			ready = "no"
 		}
-		sheet.Add(s.Instance, s.DataCentre, ready, fmt.Sprint(s.Revision), fmt.Sprint(s.Epoch), fmt.Sprint(s.Leafs), fmt.Sprint(s.Queries))
+		sheet.Add(s.Instance, s.DataCentre, ready, fmt.Sprint(s.Revision), fmt.Sprint(s.Epoch), fmt.Sprint(s.OwnedLeafs), fmt.Sprint(s.OpenQueries))
 	}
 	return sheet
 }
@@ -72,8 +72,8 @@
 func controlSheet(status operator.Status) *printer.Sheet {
 	sheet := printer.NewSheet("control", "node", "role", "term", "commit", "log", "revision", "sessions", "voters", "learners", "failed")
 	for _, c := range status.Control {
-		sheet.Add(c.Address, c.Node, c.Role, fmt.Sprint(c.Term), fmt.Sprint(c.Commit), fmt.Sprint(c.Log), fmt.Sprint(c.Revision),
-			fmt.Sprint(c.Sessions), strings.Join(c.Voters, " "), strings.Join(c.Learners, " "), c.Failed)
+		sheet.Add(c.Address, c.Node, c.Role, fmt.Sprint(c.Term), fmt.Sprint(c.Commit), fmt.Sprint(c.LogLength), fmt.Sprint(c.Revision),
+			fmt.Sprint(c.Sessions), strings.Join(c.Voters, " "), strings.Join(c.Learners, " "), c.Error)
 	}
 	return sheet
 }
--- a/pkg/commander/verb_table.go
+++ b/pkg/commander/verb_table.go
@@ -81,7 +81,7 @@
 }
 
 func putRows(command *cli.Command, client *operator.Client, rows []tabulator.RowFields) error {
-	return send(command, client, func(id, who string) (operator.Change, error) {
+	return send(command, client, func(id, who string) (operator.ChangeResult, error) {
 		return client.ChangeRows(tabulator.ChangeRows{ChangeID: id, Operator: who, Rows: rows})
 	})
 }
--- a/pkg/commander/verb_timeline.go
+++ b/pkg/commander/verb_timeline.go
@@ -48,7 +48,7 @@
 	timeliner.Sort(events)
 	sheet := printer.NewSheet("time", "instance", "kind", "peer", "text")
 	for _, event := range events {
-		sheet.Add(event.Stamp.Time().UTC().Format("15:04:05.000000"), event.Instance, event.Kind, event.Peer, event.Text)
+		sheet.Add(event.Timestamp.Time().UTC().Format("15:04:05.000000"), event.Instance, event.Kind, event.Peer, event.Text)
 	}
 	return printer.Print(command.Root().Writer, format, sheet, events)
 }
--- a/pkg/configurer/checker.go
+++ b/pkg/configurer/checker.go
@@ -13,39 +13,39 @@
 )
 
 var (
-	syntaxLine   = regexp.MustCompile(`line (\d+)`)
-	unknownField = regexp.MustCompile(`unknown field "([^"]+)"`)
+	syntaxErrorPattern  = regexp.MustCompile(`line (\d+)`)
+	unknownFieldPattern = regexp.MustCompile(`unknown field "([^"]+)"`)
 )
 
-// checker gathers faults and finds their lines in the file.
+// checker collects the errors of a settings file and locates them in the file.
 type checker struct {
 	file    string
 	content []byte
 	tree    hujson.Value
-	faults  []Fault
+	errors  []Error
 }
 
-func (c *checker) add(key, reason string) { c.addAt(c.line(key), key, reason) }
+func (c *checker) addError(key, reason string) { c.addErrorAt(c.lineOf(key), key, reason) }
 
-func (c *checker) addAt(line int, key, reason string) {
-	c.faults = append(c.faults, Fault{file: c.file, key: key, line: line, reason: reason})
+func (c *checker) addErrorAt(line int, key, reason string) {
+	c.errors = append(c.errors, Error{file: c.file, key: key, line: line, reason: reason})
 }
 
-func (c *checker) error() error {
-	if len(c.faults) == 0 {
+func (c *checker) err() error {
+	if len(c.errors) == 0 {
 		return nil
 	}
-	return &FaultsError{faults: c.faults}
+	return &ErrorList{errors: c.errors}
 }
 
-// line returns the line of the key, or of the nearest object around it that stands in the file.
-func (c *checker) line(key string) int {
+// lineOf returns the line of the key, or of the innermost enclosing key that is present in the file.
+func (c *checker) lineOf(key string) int {
 	for key != "" {
 		if value := c.tree.Find("/" + key); value != nil {
 			return c.lineAt(value.StartOffset)
 		}
-		cut := strings.LastIndex(key, "/")
-		key = key[:max(0, cut)]
+		separator := strings.LastIndex(key, "/")
+		key = key[:max(0, separator)]
 	}
 	return 1
 }
@@ -55,24 +55,25 @@
 	return 1 + bytes.Count(c.content[:offset], []byte("\n"))
 }
 
-// addDecode names the key of a value of the wrong type or of a key that is not known.
-func (c *checker) addDecode(err error, offset int64) {
+// addDecodeError adds an error of the JSON decoder, with the key if a value has the wrong type or the key is unknown. The
+// offset is where decoding stopped, in bytes.
+func (c *checker) addDecodeError(err error, offset int64) {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		key := strings.ReplaceAll(wrongType.Field, ".", "/")
-		c.addAt(c.lineAt(int(wrongType.Offset)), key, fmt.Sprintf("a %s cannot stand here", wrongType.Value))
+		c.addErrorAt(c.lineAt(int(wrongType.Offset)), key, fmt.Sprintf("a value of type %s is not allowed here", wrongType.Value))
 		return
 	}
-	if match := unknownField.FindStringSubmatch(err.Error()); match != nil {
-		at := bytes.Index(c.content, []byte(strconv.Quote(match[1])))
-		c.addAt(c.lineAt(max(0, at)), match[1], "the key is not known")
+	if match := unknownFieldPattern.FindStringSubmatch(err.Error()); match != nil {
+		index := bytes.Index(c.content, []byte(strconv.Quote(match[1])))
+		c.addErrorAt(c.lineAt(max(0, index)), match[1], "unknown key")
 		return
 	}
-	c.addAt(c.lineAt(int(offset)), "(syntax)", err.Error())
+	c.addErrorAt(c.lineAt(int(offset)), "(syntax)", err.Error())
 }
 
-func lineOfError(err error) int {
-	match := syntaxLine.FindStringSubmatch(err.Error())
+func syntaxErrorLine(err error) int {
+	match := syntaxErrorPattern.FindStringSubmatch(err.Error())
 	if match == nil {
 		return 1
 	}
--- a/pkg/configurer/doc.go
+++ b/pkg/configurer/doc.go
@@ -1,2 +1,2 @@
-// Package configurer reads the settings of an instance and names file, key and line of each fault.
+// Package configurer reads and validates the settings file of an instance and reports the file, line and key of each error.
 package configurer
--- a/pkg/configurer/settings.go
+++ b/pkg/configurer/settings.go
@@ -1,4 +1,4 @@
-// Settings are JSON with comments; examples/ has whole files:
+// The settings file is JSON with comments. The folder examples has complete files:
 //
 //	{
 //	  "cluster": "fruit-standards", // the same for all instances
@@ -25,65 +25,72 @@
 )
 
 type (
-	// Settings are the settings of one instance as they stand in the file.
+	// Settings holds the contents of the settings file of one instance.
 	Settings struct {
-		Cluster    string          `json:"cluster"`
-		Instance   string          `json:"instance"`
-		DataCentre string          `json:"data-centre"`
-		Listen     Listen          `json:"listen"`
-		Control    []ControlMember `json:"control"`
-		DataFolder string          `json:"data-folder"`
-		Platform   string          `json:"platform"`
-		KeyFile    string          `json:"key-file"`
-		Tokens     Tokens          `json:"tokens"`
-		TLS        TLS             `json:"tls"`
-		Log        Log             `json:"log"`
-		folder     string
-	}
-
-	// Listen has the addresses of an instance.
+		Cluster    string `json:"cluster"`
+		Instance   string `json:"instance"`
+		DataCentre string `json:"data-centre"`
+		Listen     Listen `json:"listen"`
+		// Control lists all control instances of the cluster.
+		Control []ControlMember `json:"control"`
+		// DataDir is the path of the data folder of a control instance; it is empty for other instances.
+		DataDir string `json:"data-folder"`
+		// PlatformURL is the URL of the platform, which publishes the list of leafs.
+		PlatformURL string `json:"platform"`
+		// KeyFile is the path of the file with the cluster key, which all instances share.
+		KeyFile string `json:"key-file"`
+		Tokens  Tokens `json:"tokens"`
+		TLS     TLS    `json:"tls"`
+		Log     Log    `json:"log"`
+		dir     string
+	}
+
+	// Listen holds the addresses that an instance listens on, each an IP address with a port.
 	Listen struct {
-		Caller   string `json:"caller"`
-		Fellow   string `json:"fellow"`
+		// Caller is the address of the API for queries.
+		Caller string `json:"caller"`
+		// Peer is the address for connections from other instances.
+		Peer string `json:"fellow"`
+		// Operator is the address of the administration API.
 		Operator string `json:"operator"`
 	}
 
-	// ControlMember is one control instance.
+	// ControlMember names a control instance and the address on which it listens for other instances.
 	ControlMember struct {
-		Instance string `json:"instance"`
-		Fellow   string `json:"fellow"`
+		Instance    string `json:"instance"`
+		PeerAddress string `json:"fellow"`
 	}
 
-	// Tokens has the SHA-256 sums, in hexadecimal, of the bearer tokens of the administration API.
+	// Tokens holds the SHA-256 hashes of the bearer tokens of the administration API, in hexadecimal digits.
 	Tokens struct {
 		ReadSHA256  string `json:"read-sha256"`
 		WriteSHA256 string `json:"write-sha256"`
 	}
 
-	// TLS has the key files; all are empty where connections are plain.
+	// TLS holds the paths of the certificate and key files, all of which are empty if connections are not encrypted.
 	TLS struct {
 		Certificate string `json:"certificate"`
 		Key         string `json:"key"`
 		Authority   string `json:"authority"`
 	}
 
-	// Log says how logs are written.
+	// Log holds the format and the level of the log.
 	Log struct {
 		Format string `json:"format"`
 		Level  string `json:"level"`
 	}
 
-	// Fault is one fault of a settings file.
-	Fault struct {
+	// Error is one error of a settings file.
+	Error struct {
 		file   string
 		key    string
 		line   int
 		reason string
 	}
 
-	// FaultsError has all faults of a settings file.
-	FaultsError struct {
-		faults []Fault
+	// ErrorList holds all errors of a settings file.
+	ErrorList struct {
+		errors []Error
 	}
 )
 
@@ -92,28 +99,28 @@
 	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-func (f Fault) Error() string {
-	return fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.key, f.reason)
+func (e Error) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", e.file, e.line, e.key, e.reason)
 }
 
-// Line returns the line of the fault, from 1.
-func (f Fault) Line() int { return f.line }
+// Line returns the line of the error, counted from 1.
+func (e Error) Line() int { return e.line }
 
-// Key returns the path of the key, such as listen/caller.
-func (f Fault) Key() string { return f.key }
+// Key returns the path of the key, such as listen/caller, or (syntax) if the file is not valid JSON.
+func (e Error) Key() string { return e.key }
 
-// Faults returns each fault.
-func (e *FaultsError) Faults() []Fault { return e.faults }
+// Errors returns the errors in the order in which they were found.
+func (e *ErrorList) Errors() []Error { return e.errors }
 
-func (e *FaultsError) Error() string {
-	lines := make([]string, 0, len(e.faults))
-	for _, fault := range e.faults {
-		lines = append(lines, fault.Error())
+func (e *ErrorList) Error() string {
+	lines := make([]string, 0, len(e.errors))
+	for _, item := range e.errors {
+		lines = append(lines, item.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Read reads and checks a settings file; bad settings are a *FaultsError.
+// Read reads and validates a settings file, and returns an *ErrorList if the settings are invalid.
 func Read(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -122,101 +129,103 @@
 	return Parse(path, content)
 }
 
-// Parse checks the content of a settings file.
+// Parse validates the content of the settings file at path, and returns an *ErrorList if the settings are invalid.
 func Parse(path string, content []byte) (Settings, error) {
 	checker := &checker{file: path, content: content}
-	settings := Settings{folder: filepath.Dir(path)}
+	settings := Settings{dir: filepath.Dir(path)}
 	tree, err := hujson.Parse(content)
 	if err != nil {
-		checker.addAt(lineOfError(err), "(syntax)", err.Error())
-		return settings, checker.error()
+		checker.addErrorAt(syntaxErrorLine(err), "(syntax)", err.Error())
+		return settings, checker.err()
 	}
 	checker.tree = tree
-	plain := tree.Clone()
-	plain.Standardize()
-	decoder := json.NewDecoder(bytes.NewReader(plain.Pack()))
+	standardized := tree.Clone()
+	standardized.Standardize()
+	decoder := json.NewDecoder(bytes.NewReader(standardized.Pack()))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&settings); err != nil {
-		checker.addDecode(err, decoder.InputOffset())
-		return settings, checker.error()
+		checker.addDecodeError(err, decoder.InputOffset())
+		return settings, checker.err()
 	}
 	checker.check(settings)
-	return settings, checker.error()
+	return settings, checker.err()
 }
 
-// Path returns a file of the settings relative to the folder of the settings file.
-func (s Settings) Path(file string) string {
+// ResolvePath resolves a path from the settings relative to the folder of the settings file.
+func (s Settings) ResolvePath(file string) string {
 	if file == "" || filepath.IsAbs(file) {
 		return file
 	}
-	return filepath.Join(s.folder, file)
+	return filepath.Join(s.dir, file)
 }
 
-// IsControl tells whether the instance has the control role.
-func (s Settings) IsControl() bool { return s.DataFolder != "" }
+// IsControl reports whether the instance is a control instance, which is the case if it has a data folder.
+func (s Settings) IsControl() bool { return s.DataDir != "" }
 
 func (c *checker) check(s Settings) {
-	c.name("cluster", s.Cluster)
-	c.name("instance", s.Instance)
-	c.name("data-centre", s.DataCentre)
-	c.address("listen/caller", s.Listen.Caller)
-	c.address("listen/fellow", s.Listen.Fellow)
-	c.address("listen/operator", s.Listen.Operator)
+	c.checkName("cluster", s.Cluster)
+	c.checkName("instance", s.Instance)
+	c.checkName("data-centre", s.DataCentre)
+	c.checkAddress("listen/caller", s.Listen.Caller)
+	c.checkAddress("listen/fellow", s.Listen.Peer)
+	c.checkAddress("listen/operator", s.Listen.Operator)
 	c.checkControl(s)
-	if parsed, err := url.Parse(s.Platform); err != nil || parsed.Host == "" {
-		c.add("platform", fmt.Sprintf("%q is not an http address", s.Platform))
+	if parsed, err := url.Parse(s.PlatformURL); err != nil || parsed.Host == "" {
+		c.addError("platform", fmt.Sprintf("%q is not a URL with a host", s.PlatformURL))
 	}
 	if s.KeyFile == "" {
-		c.add("key-file", "it is missing; it names the file with the key of the cluster")
+		c.addError("key-file", "missing; it must name the file with the cluster key")
 	}
-	c.hash("tokens/read-sha256", s.Tokens.ReadSHA256)
-	c.hash("tokens/write-sha256", s.Tokens.WriteSHA256)
+	c.checkHash("tokens/read-sha256", s.Tokens.ReadSHA256)
+	c.checkHash("tokens/write-sha256", s.Tokens.WriteSHA256)
 	if (s.TLS.Certificate == "") != (s.TLS.Key == "") {
-		c.add("tls", "certificate and key go together")
+		c.addError("tls", "certificate and key must be set together")
 	}
-	c.word("log/format", s.Log.Format, "", "text", "json")
-	c.word("log/level", s.Log.Level, "", "info", "debug")
+	c.checkEnum("log/format", s.Log.Format, "", "text", "json")
+	c.checkEnum("log/level", s.Log.Level, "", "info", "debug")
 }
 
 func (c *checker) checkControl(s Settings) {
 	if len(s.Control) == 0 {
-		c.add("control", "it names no control instance")
+		c.addError("control", "no control instance is listed")
 	}
-	listed := false
+	isListed := false
 	for i, member := range s.Control {
-		c.name(fmt.Sprintf("control/%d/instance", i), member.Instance)
-		c.address(fmt.Sprintf("control/%d/fellow", i), member.Fellow)
-		listed = listed || member.Instance == s.Instance
+		c.checkName(fmt.Sprintf("control/%d/instance", i), member.Instance)
+		c.checkAddress(fmt.Sprintf("control/%d/fellow", i), member.PeerAddress)
+		isListed = isListed || member.Instance == s.Instance
 	}
-	if s.IsControl() && !listed {
-		c.add("data-folder", fmt.Sprintf("instance %q has a data folder but is not listed under control", s.Instance))
+	if s.IsControl() && !isListed {
+		c.addError("data-folder", fmt.Sprintf("instance %q has a data folder but is not listed under control", s.Instance))
 	}
 }
 
-func (c *checker) name(key, value string) {
+func (c *checker) checkName(key, value string) {
 	if !namePattern.MatchString(value) {
-		c.add(key, fmt.Sprintf("%q is not a kebab-case name of at most 63 characters", value))
+		c.addError(key, fmt.Sprintf("%q is not a kebab-case name of at most 63 characters", value))
 	}
 }
 
-func (c *checker) address(key, value string) {
+func (c *checker) checkAddress(key, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
-		c.add(key, fmt.Sprintf("%q is not an IP number with a port", value))
+		c.addError(key, fmt.Sprintf("%q is not an IP address with a port", value))
 	}
 }
 
-func (c *checker) hash(key, value string) {
+func (c *checker) checkHash(key, value string) {
 	if value != "" && !hashPattern.MatchString(value) {
-		c.add(key, "it is not a SHA-256 sum of 64 hexadecimal digits")
+		c.addError(key, "not a SHA-256 hash of 64 lowercase hexadecimal digits")
 	}
 }
 
-func (c *checker) word(key, value string, allowed ...string) {
-	for _, word := range allowed {
-		if value == word {
+// checkEnum checks that the value is one of the allowed ones. The first of these is the empty default, which the message
+// leaves out.
+func (c *checker) checkEnum(key, value string, allowed ...string) {
+	for _, candidate := range allowed {
+		if value == candidate {
 			return
 		}
 	}
-	c.add(key, fmt.Sprintf("%q is not one of %s", value, strings.Join(allowed[1:], ", ")))
+	c.addError(key, fmt.Sprintf("%q is not one of %s", value, strings.Join(allowed[1:], ", ")))
 }
--- a/pkg/controller/outbox.go
+++ b/pkg/controller/outbox.go
@@ -13,14 +13,14 @@
 // retransmits what is still needed.
 type outbox struct {
 	peer     *peer
-	stamp    func() timeliner.Stamp
+	stamp    func() timeliner.Timestamp
 	mu       sync.Mutex
 	cond     *sync.Cond
 	queued   []replicator.Message
 	isClosed bool
 }
 
-func newOutbox(p *peer, stamp func() timeliner.Stamp, group *conc.WaitGroup) *outbox {
+func newOutbox(p *peer, stamp func() timeliner.Timestamp, group *conc.WaitGroup) *outbox {
 	o := &outbox{peer: p, stamp: stamp}
 	o.cond = sync.NewCond(&o.mu)
 	group.Go(o.run)
--- a/pkg/controller/size_test.go
+++ b/pkg/controller/size_test.go
@@ -54,7 +54,7 @@
 	for _, members := range []int{25, 250, 2500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			machine := newTestMachine(members, 1000)
-			query := RenewQuery{Member: testMember(1), Have: machine.Revision(), Stamp: timeliner.Stamp{Micros: 1 << 50}}
+			query := RenewQuery{Member: testMember(1), Have: machine.Revision(), Stamp: timeliner.Timestamp{Micros: 1 << 50}}
 			unchanged := RenewReply{Granted: true, Delta: machine.Delta(machine.Revision())}
 			before := machine.Revision()
 			machine.Apply(tabulator.Join{Member: testMember(members)})
--- a/pkg/controller/wire.go
+++ b/pkg/controller/wire.go
@@ -13,7 +13,7 @@
 	// StepQuery carries replicated-log messages from one control instance to another.
 	StepQuery struct {
 		Messages []replicator.Message
-		Stamp    timeliner.Stamp
+		Stamp    timeliner.Timestamp
 	}
 
 	// ReportQuery reports the sessions of a control instance to the leader.
@@ -57,7 +57,7 @@
 		Requests int
 		// Roster is the stamp of the leaf roster that the instance has.
 		Roster lister.RosterStamp
-		Stamp  timeliner.Stamp
+		Stamp  timeliner.Timestamp
 	}
 
 	// RenewReply grants a lease and updates the view, or gives the reason for a refusal.
@@ -76,7 +76,7 @@
 		Control []string
 		// Renewal is the interval until the next renewal. If 0, the client keeps its own.
 		Renewal time.Duration
-		Stamp   timeliner.Stamp
+		Stamp   timeliner.Timestamp
 	}
 
 	// ProposeQuery requests that an encoded command be committed to the log.
--- a/pkg/demonstrator/demo.go
+++ b/pkg/demonstrator/demo.go
@@ -188,8 +188,8 @@
 		return err
 	}
 	took := time.Since(begun)
-	d.say("%s: accepted at revision %d, in force on %d/%d after %s", change, revision, reply.Acting, reply.Members, took.Round(time.Millisecond))
-	d.result.InForce = append(d.result.InForce, InForce{Change: change, Acting: reply.Acting, Members: reply.Members, Took: took})
+	d.say("%s: accepted at revision %d, in force on %d/%d after %s", change, revision, reply.UpToDate, reply.Members, took.Round(time.Millisecond))
+	d.result.InForce = append(d.result.InForce, InForce{Change: change, Acting: reply.UpToDate, Members: reply.Members, Took: took})
 	return nil
 }
 
--- a/pkg/dispatcher/trace.go
+++ b/pkg/dispatcher/trace.go
@@ -17,7 +17,7 @@
 	trace := tracer.Trace{
 		ID: result.ID, Instance: d.config.Self.Instance, Caller: request.Caller, Services: request.Services,
 		Index: answer.Version.Index, Version: answer.Version.Number, Started: startTime, Took: result.Took,
-		Outcome: string(answer.Outcome), Reason: answer.Reason, Answered: answer.Answered, Total: answer.Total,
+		Outcome: string(answer.Outcome), Reason: answer.Reason, AnsweredShards: answer.Answered, TotalShards: answer.Total,
 		Restarts: answer.Restarts, Spans: make([]tracer.Span, 0, len(answer.Attempts)),
 	}
 	d.mu.Lock()
@@ -33,8 +33,8 @@
 	owner, _ := d.ownerOf(record)
 	return tracer.Span{
 		Kind: string(a.Kind), Service: a.Shard.Service, Shard: a.Shard.Number, Leaf: string(a.Leaf),
-		DataCentre: record.DataCentre, Owner: owner.Instance(), Start: a.Sent - startedAt, Total: max(0, a.Ended-a.Sent),
+		DataCentre: record.DataCentre, Owner: owner.Instance(), Start: a.Sent - startedAt, Duration: max(0, a.Ended-a.Sent),
 		Queue: a.Timing.QueueTime, Connect: a.Timing.ConnectTime, LeafTime: a.Timing.LeafTime, Limit: a.Timing.Limit,
-		Slots: a.Timing.Slots, ClosedFor: a.Timing.SinceLimitReset, ClosedReason: a.Timing.LimitResetReason, Result: a.Result,
+		Slots: a.Timing.Slots, LimitResetAge: a.Timing.SinceLimitReset, LimitResetReason: a.Timing.LimitResetReason, Result: a.Result,
 	}
 }
--- a/pkg/experimenter/tier.go
+++ b/pkg/experimenter/tier.go
@@ -229,17 +229,17 @@
 	err := waitFor(readyTimeout, "the change is in force", func() bool {
 		reply, err := t.Operator().InForce(revision)
 		last = reply
-		return err == nil && reply.Everywhere
+		return err == nil && reply.IsEverywhere
 	})
 	return last, err
 }
 
-func (t *Tier) accepted(change operator.Change, err error) (uint64, error) {
+func (t *Tier) accepted(change operator.ChangeResult, err error) (uint64, error) {
 	if err != nil {
 		return 0, err
 	}
 	if change.Outcome != operator.OutcomeAccepted {
-		return 0, errors.Errorf("change %s: %s %v", change.ChangeID, change.Outcome, change.Faults)
+		return 0, errors.Errorf("change %s: %s %v", change.ChangeID, change.Outcome, change.Errors)
 	}
 	return change.Revision, nil
 }
@@ -273,19 +273,19 @@
 	}
 	settings := configurer.Settings{
 		Cluster: clusterName, Instance: fmt.Sprintf("entry-%d", i+1), DataCentre: t.spec.DataCentres[i%len(t.spec.DataCentres)],
-		Listen:   configurer.Listen{Caller: addresses[0], Fellow: addresses[1], Operator: addresses[2]},
-		Platform: t.spec.Platform, KeyFile: keyFile,
+		Listen:      configurer.Listen{Caller: addresses[0], Peer: addresses[1], Operator: addresses[2]},
+		PlatformURL: t.spec.Platform, KeyFile: keyFile,
 	}
-	t.network.Place(settings.Listen.Fellow, settings.Instance, settings.DataCentre)
+	t.network.Place(settings.Listen.Peer, settings.Instance, settings.DataCentre)
 	return settings, nil
 }
 
 func (t *Tier) prepareControl() error {
 	var members []configurer.ControlMember
 	for i := range t.spec.Control {
-		members = append(members, configurer.ControlMember{Instance: t.settings[i].Instance, Fellow: t.settings[i].Listen.Fellow})
-		t.settings[i].DataFolder = filepath.Join(t.folder, t.settings[i].Instance)
-		if _, err := journaler.Format(t.settings[i].DataFolder, clusterName, t.settings[i].Instance, true); err != nil {
+		members = append(members, configurer.ControlMember{Instance: t.settings[i].Instance, PeerAddress: t.settings[i].Listen.Peer})
+		t.settings[i].DataDir = filepath.Join(t.folder, t.settings[i].Instance)
+		if _, err := journaler.Format(t.settings[i].DataDir, clusterName, t.settings[i].Instance, true); err != nil {
 			return err
 		}
 	}
--- a/pkg/explainer/doc.go
+++ b/pkg/explainer/doc.go
@@ -1,2 +1,2 @@
-// Package explainer reads the logs of all instances and says what happened to one request.
+// Package explainer collects the log lines of all instances about one request and explains its outcome.
 package explainer
--- a/pkg/explainer/explainer.go
+++ b/pkg/explainer/explainer.go
@@ -1,5 +1,5 @@
-// The course of a request is every log line that names it, in the order of
-// time. The last line that ends it gives the outcome; the attempts before it
+// All log lines with the id of a request are collected and sorted by time. The
+// latest line that reports its end gives the outcome, and the failed attempts
 // give the cause:
 //
 //	request 9c41 at entry-2: refused with 503 after 12 ms: every leaf that was asked refused it without running it (i-1, i-2)
@@ -21,191 +21,193 @@
 )
 
 const (
-	attemptEnded   = "gatekeeper: attempt ended"
-	anotherAttempt = "gatekeeper: another attempt"
-	refusedLine    = "gatekeeper: refused"
-	answeredLine   = "gatekeeper: answered"
-	passedLine     = "gatekeeper: passed"
-	callerLeftLine = "gatekeeper: the caller left"
-
-	maxLine = 1 << 20
+	attemptEndedMessage   = "gatekeeper: attempt ended"
+	anotherAttemptMessage = "gatekeeper: another attempt"
+	refusedMessage        = "gatekeeper: refused"
+	answeredMessage       = "gatekeeper: answered"
+	forwardedMessage      = "gatekeeper: passed"
+	callerLeftMessage     = "gatekeeper: the caller left"
+
+	maxLineBytes = 1 << 20
 )
 
 type (
-	// Step is one log line about a request.
-	Step struct {
+	// Entry is one log line about a request.
+	Entry struct {
 		at       time.Time
 		instance string
 		message  string
 		fields   map[string]any
 	}
 
-	// Course is all that the logs say of one request.
-	Course struct {
+	// RequestLog holds the log lines about one request.
+	RequestLog struct {
 		request string
-		steps   []Step
+		entries []Entry
 	}
 )
 
-// At returns when the line was written.
-func (s Step) At() time.Time { return s.at }
+// At returns the time at which the line was logged.
+func (e Entry) At() time.Time { return e.at }
 
-// Instance returns which instance wrote the line.
-func (s Step) Instance() string { return s.instance }
+// Instance returns the name of the instance that logged the line.
+func (e Entry) Instance() string { return e.instance }
 
-// Message returns the message of the line.
-func (s Step) Message() string { return s.message }
+// Message returns the log message of the line.
+func (e Entry) Message() string { return e.message }
 
-// Steps returns the lines, oldest first.
-func (c *Course) Steps() []Step { return c.steps }
+// Entries returns the log lines about the request, oldest first.
+func (l *RequestLog) Entries() []Entry { return l.entries }
 
-// New returns a course without lines.
-func New(request string) *Course { return &Course{request: request} }
+// New returns an empty log of the request with this id.
+func New(request string) *RequestLog { return &RequestLog{request: request} }
 
-// Read adds the lines of one log that name the request; text before the first brace of a line is passed over.
-func (c *Course) Read(log io.Reader) error {
+// Read adds the lines of one log about the request, ignoring any text before the JSON object of a line, and returns an
+// error if the log cannot be read.
+func (l *RequestLog) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
-	name := []byte(`"` + c.request + `"`)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
+	quotedID := []byte(`"` + l.request + `"`)
 	for scanner.Scan() {
 		line := scanner.Bytes()
 		brace := bytes.IndexByte(line, '{')
-		if brace < 0 || !bytes.Contains(line, name) {
+		if brace < 0 || !bytes.Contains(line, quotedID) {
 			continue
 		}
 		fields := map[string]any{}
-		if err := json.Unmarshal(line[brace:], &fields); err != nil || fields["request"] != c.request {
+		if err := json.Unmarshal(line[brace:], &fields); err != nil || fields["request"] != l.request {
 			continue
 		}
-		step := Step{fields: fields}
-		step.message, _ = fields["msg"].(string)
-		step.instance, _ = fields["instance"].(string)
-		if text, ok := fields["ts"].(string); ok {
-			step.at, _ = time.Parse(time.RFC3339Nano, text)
+		entry := Entry{fields: fields}
+		entry.message, _ = fields["msg"].(string)
+		entry.instance, _ = fields["instance"].(string)
+		if timestamp, ok := fields["ts"].(string); ok {
+			entry.at, _ = time.Parse(time.RFC3339Nano, timestamp)
 		}
-		c.steps = append(c.steps, step)
+		l.entries = append(l.entries, entry)
 	}
-	sort.SliceStable(c.steps, func(i, j int) bool { return c.steps[i].at.Before(c.steps[j].at) })
-	return errors.Wrap(scanner.Err(), "read the log")
+	sort.SliceStable(l.entries, func(i, j int) bool { return l.entries[i].at.Before(l.entries[j].at) })
+	return errors.Wrap(scanner.Err(), "read log")
 }
 
-// Sentence says in one sentence how the request ended and why.
-func (c *Course) Sentence() string {
-	end, ok := c.end()
+// Summary returns one sentence that says how the request ended and why.
+func (l *RequestLog) Summary() string {
+	final, ok := l.finalEntry()
 	if !ok {
-		return fmt.Sprintf("request %s: the logs have %d lines about it, and none that ends it", c.request, len(c.steps))
-	}
-	head := fmt.Sprintf("request %s at %s: ", c.request, end.instance)
-	switch end.message {
-	case passedLine:
-		return head + c.passed(end)
-	case answeredLine:
-		return head + c.answered(end)
-	case callerLeftLine:
-		return head + "the caller left before there was an answer" + c.because()
-	}
-	return head + c.refused(end)
+		return fmt.Sprintf("request %s: the logs have %d lines about it, and none that ends it", l.request, len(l.entries))
+	}
+	prefix := fmt.Sprintf("request %s at %s: ", l.request, final.instance)
+	switch final.message {
+	case forwardedMessage:
+		return prefix + l.describeForwarded(final)
+	case answeredMessage:
+		return prefix + l.describeAnswered(final)
+	case callerLeftMessage:
+		return prefix + "the caller left before there was an answer" + l.failedAttempts()
+	}
+	return prefix + l.describeRefused(final)
 }
 
-// Lines returns the steps as lines of text.
-func (c *Course) Lines() []string {
-	lines := make([]string, 0, len(c.steps))
-	for _, step := range c.steps {
-		lines = append(lines, fmt.Sprintf("%s  %-12s  %s%s", step.at.Format("15:04:05.000"), step.instance, step.message, step.details()))
+// Lines formats the log lines about the request as text, one line each.
+func (l *RequestLog) Lines() []string {
+	lines := make([]string, 0, len(l.entries))
+	for _, entry := range l.entries {
+		lines = append(lines, fmt.Sprintf("%s  %-12s  %s%s", entry.at.Format("15:04:05.000"), entry.instance, entry.message, entry.formatFields()))
 	}
 	return lines
 }
 
-func (c *Course) end() (Step, bool) {
-	for i := len(c.steps) - 1; i >= 0; i-- {
-		switch c.steps[i].message {
-		case passedLine, answeredLine, refusedLine, callerLeftLine:
-			return c.steps[i], true
+// finalEntry returns the latest entry that reports the end of the request.
+func (l *RequestLog) finalEntry() (Entry, bool) {
+	for i := len(l.entries) - 1; i >= 0; i-- {
+		switch l.entries[i].message {
+		case forwardedMessage, answeredMessage, refusedMessage, callerLeftMessage:
+			return l.entries[i], true
 		}
 	}
-	return Step{}, false
+	return Entry{}, false
 }
 
-func (c *Course) passed(end Step) string {
+func (l *RequestLog) describeForwarded(final Entry) string {
 	text := fmt.Sprintf("the answer %v of leaf %s was passed on after %v ms, of which the leaf took %v ms and the wait for a connection %v ms",
-		end.fields["status"], end.text("leaf"), end.fields["took-ms"], end.fields["leaf-ms"], end.fields["queued-ms"])
-	return text + c.because()
+		final.fields["status"], final.fieldText("leaf"), final.fields["took-ms"], final.fields["leaf-ms"], final.fields["queued-ms"])
+	return text + l.failedAttempts()
 }
 
-func (c *Course) answered(end Step) string {
-	missing := end.list("missing")
-	text := fmt.Sprintf("answered after %v ms with %v parts", end.fields["took-ms"], end.fields["parts"])
+func (l *RequestLog) describeAnswered(final Entry) string {
+	missing := final.fieldList("missing")
+	text := fmt.Sprintf("answered after %v ms with %v parts", final.fields["took-ms"], final.fields["parts"])
 	if len(missing) == 0 {
-		return text + c.because()
+		return text + l.failedAttempts()
 	}
-	return text + fmt.Sprintf("; left out, with the leafs that were asked: %s", strings.Join(missing, ", ")) + c.because()
+	return text + fmt.Sprintf("; left out, with the leafs that were asked: %s", strings.Join(missing, ", ")) + l.failedAttempts()
 }
 
-func (c *Course) refused(end Step) string {
-	text := fmt.Sprintf("ended with %v after %v ms: %s", end.fields["status"], end.fields["took-ms"], end.text("reason"))
-	if missing := end.list("missing"); len(missing) > 0 {
-		return text + shared(missing)
+func (l *RequestLog) describeRefused(final Entry) string {
+	text := fmt.Sprintf("ended with %v after %v ms: %s", final.fields["status"], final.fields["took-ms"], final.fieldText("reason"))
+	if missing := final.fieldList("missing"); len(missing) > 0 {
+		return text + commonCause(missing)
 	}
-	return text + c.because()
+	return text + l.failedAttempts()
 }
 
-// shared names the cause that most of the missing shards share, with its leafs. A missing shard is written as
-// "s2(i-1:silent, front-b-3: i-2:silent)", where another instance asked the second leaf.
-func shared(missing []string) string {
-	leafs, cause := map[string][]string{}, ""
+// commonCause returns a clause with the most frequent cause of the failed attempts and the leafs that it affected. A missing
+// shard is logged as "s2(i-1:silent, front-b-3: i-2:silent)" if another instance sent the second request.
+func commonCause(missing []string) string {
+	leafsByCause, mostCommon := map[string][]string{}, ""
 	for _, shard := range missing {
-		_, asked, _ := strings.Cut(strings.TrimSuffix(shard, ")"), "(")
-		for _, one := range strings.Split(asked, ", ") {
-			at := strings.LastIndexByte(one, ':')
-			if at < 0 {
-				leafs[one] = append(leafs[one], "")
+		_, attempts, _ := strings.Cut(strings.TrimSuffix(shard, ")"), "(")
+		for _, attempt := range strings.Split(attempts, ", ") {
+			separator := strings.LastIndexByte(attempt, ':')
+			if separator < 0 {
+				leafsByCause[attempt] = append(leafsByCause[attempt], "")
 				continue
 			}
-			leafs[one[at+1:]] = append(leafs[one[at+1:]], one[:at])
+			leafsByCause[attempt[separator+1:]] = append(leafsByCause[attempt[separator+1:]], attempt[:separator])
 		}
 	}
-	for did := range leafs {
-		if did != "" && (cause == "" || len(leafs[did]) > len(leafs[cause]) || len(leafs[did]) == len(leafs[cause]) && did < cause) {
-			cause = did
+	for cause := range leafsByCause {
+		if cause != "" && (mostCommon == "" || len(leafsByCause[cause]) > len(leafsByCause[mostCommon]) || len(leafsByCause[cause]) == len(leafsByCause[mostCommon]) && cause < mostCommon) {
+			mostCommon = cause
 		}
 	}
-	if cause == "" {
+	if mostCommon == "" {
 		return ""
 	}
-	return fmt.Sprintf("; most of the missing shards share this cause: %s: %s", cause, strings.Join(nonEmpty(leafs[cause]), ", "))
+	return fmt.Sprintf("; most of the missing shards share this cause: %s: %s", mostCommon, strings.Join(nonEmpty(leafsByCause[mostCommon]), ", "))
 }
 
 func nonEmpty(names []string) []string {
 	return slices.DeleteFunc(names, func(name string) bool { return name == "" })
 }
 
-// list returns the words of a field that holds several.
-func (s Step) list(key string) []string {
-	values, _ := s.fields[key].([]any)
-	words := make([]string, 0, len(values))
+// fieldList returns the elements of a field that holds a list.
+func (e Entry) fieldList(key string) []string {
+	values, _ := e.fields[key].([]any)
+	texts := make([]string, 0, len(values))
 	for _, value := range values {
-		words = append(words, fmt.Sprint(value))
+		texts = append(texts, fmt.Sprint(value))
 	}
-	return words
+	return texts
 }
 
-// because names the attempts that brought nothing, by outcome.
-func (c *Course) because() string {
-	leafs := map[string][]string{}
-	var order []string
-	for _, step := range c.steps {
-		if step.message != attemptEnded {
+// failedAttempts returns a clause that lists the leafs of the failed attempts, grouped by outcome.
+func (l *RequestLog) failedAttempts() string {
+	leafsByOutcome := map[string][]string{}
+	var outcomes []string
+	for _, entry := range l.entries {
+		if entry.message != attemptEndedMessage {
 			continue
 		}
-		outcome := step.text("outcome")
-		if leafs[outcome] == nil {
-			order = append(order, outcome)
+		outcome := entry.fieldText("outcome")
+		if leafsByOutcome[outcome] == nil {
+			outcomes = append(outcomes, outcome)
 		}
-		leafs[outcome] = append(leafs[outcome], step.text("leaf"))
+		leafsByOutcome[outcome] = append(leafsByOutcome[outcome], entry.fieldText("leaf"))
 	}
-	parts := make([]string, 0, len(order))
-	for _, outcome := range order {
-		parts = append(parts, fmt.Sprintf("%s: %s", outcome, strings.Join(leafs[outcome], ", ")))
+	parts := make([]string, 0, len(outcomes))
+	for _, outcome := range outcomes {
+		parts = append(parts, fmt.Sprintf("%s: %s", outcome, strings.Join(leafsByOutcome[outcome], ", ")))
 	}
 	if len(parts) == 0 {
 		return ""
@@ -213,12 +215,12 @@
 	return "; attempts that brought nothing: " + strings.Join(parts, "; ")
 }
 
-func (s Step) text(key string) string { return fmt.Sprint(s.fields[key]) }
+func (e Entry) fieldText(key string) string { return fmt.Sprint(e.fields[key]) }
 
-// details returns the fields of the line that are not shown elsewhere, by name.
-func (s Step) details() string {
-	names := make([]string, 0, len(s.fields))
-	for name := range s.fields {
+// formatFields formats the fields that the other columns do not show, sorted by name.
+func (e Entry) formatFields() string {
+	names := make([]string, 0, len(e.fields))
+	for name := range e.fields {
 		switch name {
 		case "level", "ts", "msg", "part", "instance", "request":
 		default:
@@ -228,7 +230,7 @@
 	sort.Strings(names)
 	var text strings.Builder
 	for _, name := range names {
-		_, _ = fmt.Fprintf(&text, "  %s=%v", name, s.fields[name])
+		_, _ = fmt.Fprintf(&text, "  %s=%v", name, e.fields[name])
 	}
 	return text.String()
 }
--- a/pkg/gatekeeper/explain_test.go
+++ b/pkg/gatekeeper/explain_test.go
@@ -85,7 +85,7 @@
 			if err := explanation.Read(strings.NewReader(logOutput.text())); err != nil {
 				t.Fatal(err)
 			}
-			sentence := explanation.Sentence()
+			sentence := explanation.Summary()
 			for _, want := range append(c.want, "entry-1") {
 				if !strings.Contains(sentence, want) {
 					t.Errorf("want %q in the explanation, got %q", want, sentence)
--- a/pkg/operator/client.go
+++ b/pkg/operator/client.go
@@ -18,10 +18,10 @@
 const requestTimeout = 6 * time.Second
 
 type (
-	// ClientOption sets up a Client.
+	// ClientOption configures a Client.
 	ClientOption func(*Client)
 
-	// Client calls the administration API of one instance.
+	// Client sends requests to the administration API of one instance.
 	Client struct {
 		address string
 		scheme  string
@@ -29,20 +29,20 @@
 		http    fasthttp.Client
 	}
 
-	// APIError is a refusal of the administration API.
+	// APIError is an error response of the administration API.
 	APIError struct {
-		status  int
-		peer    string
-		message string
+		statusCode int
+		instance   string
+		message    string
 	}
 )
 
-// WithToken sets the bearer token.
+// WithToken returns an option that sets the bearer token of the requests.
 func WithToken(token string) ClientOption {
 	return func(c *Client) { c.token = token }
 }
 
-// WithTLS makes the client use TLS.
+// WithTLS returns an option that makes the client use HTTPS with the given configuration.
 func WithTLS(config *tls.Config) ClientOption {
 	return func(c *Client) {
 		c.scheme = "https"
@@ -50,7 +50,7 @@
 	}
 }
 
-// NewClient returns a client of the instance at address.
+// NewClient returns a client for the instance at address, which is a host with a port.
 func NewClient(address string, options ...ClientOption) *Client {
 	client := &Client{address: address, scheme: "http"}
 	for _, option := range options {
@@ -59,105 +59,107 @@
 	return client
 }
 
-// Status returns the HTTP status of the refusal.
-func (e *APIError) Status() int { return e.status }
+// StatusCode returns the HTTP status code of the response.
+func (e *APIError) StatusCode() int { return e.statusCode }
 
 func (e *APIError) Error() string {
-	return fmt.Sprintf("instance %s: %s (status %d)", e.peer, e.message, e.status)
+	return fmt.Sprintf("instance %s: %s (status %d)", e.instance, e.message, e.statusCode)
 }
 
-// At returns a client of another instance with the same token and TLS.
-func (c *Client) At(address string) *Client {
+// WithAddress returns a client for the instance at address that uses the same token and TLS configuration.
+func (c *Client) WithAddress(address string) *Client {
 	return &Client{address: address, scheme: c.scheme, token: c.token, http: fasthttp.Client{TLSConfig: c.http.TLSConfig}}
 }
 
-// Address returns the address of the instance.
+// Address returns the address that the client sends its requests to.
 func (c *Client) Address() string { return c.address }
 
-// Status returns the state of the instance.
+// Status returns the state of the instance and of the control instances that it reaches.
 func (c *Client) Status() (Status, error) { return get[Status](c, "/status") }
 
-// Table returns the table that is in force at the instance.
+// Table returns the service rows and data centres of the table that the instance currently uses.
 func (c *Client) Table() (Table, error) { return get[Table](c, "/table") }
 
-// History returns the changes of operators.
+// History returns the recorded changes to the table, both accepted and refused.
 func (c *Client) History() (History, error) { return get[History](c, "/history") }
 
-// InForce tells how many instances act on a revision.
+// InForce returns how many instances use the given table revision or a later one.
 func (c *Client) InForce(revision uint64) (InForce, error) {
 	return get[InForce](c, fmt.Sprintf("/in-force/%d", revision))
 }
 
-// Lookup returns the recorded outcome of a change.
-func (c *Client) Lookup(changeID string) (Change, error) {
-	return get[Change](c, "/changes/"+url.PathEscape(changeID))
+// Lookup returns the recorded outcome of a change, or an APIError with status 404 if none is recorded.
+func (c *Client) Lookup(changeID string) (ChangeResult, error) {
+	return get[ChangeResult](c, "/changes/"+url.PathEscape(changeID))
 }
 
-// Trace returns a kept query.
+// Trace returns the trace of a query, or an APIError with status 404 if the instance has none.
 func (c *Client) Trace(id string) (tracer.Trace, error) {
 	return get[tracer.Trace](c, "/traces/"+url.PathEscape(id))
 }
 
-// Slowest returns the slowest kept queries.
+// Slowest returns the traces of the slowest queries, slowest first.
 func (c *Client) Slowest() (Traces, error) { return get[Traces](c, "/traces") }
 
-// Events returns the time line of the instance.
+// Events returns the events in the timeline of the instance that the filter selects.
 func (c *Client) Events(filter timeliner.Filter) (Events, error) {
-	values := url.Values{}
+	query := url.Values{}
 	if filter.Peer != "" {
-		values.Set("peer", filter.Peer)
+		query.Set("peer", filter.Peer)
 	}
 	if filter.Kind != "" {
-		values.Set("kind", filter.Kind)
+		query.Set("kind", filter.Kind)
 	}
 	if !filter.Since.IsZero() {
-		values.Set("since", filter.Since.Format(time.RFC3339Nano))
+		query.Set("since", filter.Since.Format(time.RFC3339Nano))
 	}
-	return get[Events](c, "/events?"+values.Encode())
+	return get[Events](c, "/events?"+query.Encode())
 }
 
-// ChangeRows sends a change of rows.
-func (c *Client) ChangeRows(change tabulator.ChangeRows) (Change, error) {
-	return c.change("/table", change)
+// ChangeRows submits a change of table rows and returns its outcome.
+func (c *Client) ChangeRows(change tabulator.ChangeRows) (ChangeResult, error) {
+	return c.postChange("/table", change)
 }
 
-// SetDataCentre sends a change of a data centre.
-func (c *Client) SetDataCentre(change tabulator.SetDataCentre) (Change, error) {
-	return c.change("/data-centre", change)
+// SetDataCentre submits a change that puts a data centre in or out of service, and returns its outcome.
+func (c *Client) SetDataCentre(change tabulator.SetDataCentre) (ChangeResult, error) {
+	return c.postChange("/data-centre", change)
 }
 
-// Configure changes the control members by one.
-func (c *Client) Configure(body ConfigureBody) (Change, error) { return c.change("/control", body) }
+// Configure adds, promotes or removes one control member and returns the outcome.
+func (c *Client) Configure(body ConfigureRequest) (ChangeResult, error) {
+	return c.postChange("/control", body)
+}
 
-func (c *Client) change(path string, body any) (Change, error) {
-	var change Change
+func (c *Client) postChange(path string, body any) (ChangeResult, error) {
+	var change ChangeResult
 	data, err := json.Marshal(body)
 	if err != nil {
 		return change, errors.Wrap(err, "encode change")
 	}
-	status, answer, err := c.exchange(fasthttp.MethodPost, path, data)
+	statusCode, responseBody, err := c.do(fasthttp.MethodPost, path, data)
 	if err != nil {
 		return change, err
 	}
-	if json.Unmarshal(answer, &change) == nil && change.Outcome != "" {
+	if json.Unmarshal(responseBody, &change) == nil && change.Outcome != "" {
 		return change, nil
 	}
-	return change, c.refusal(status, answer)
+	return change, c.newAPIError(statusCode, responseBody)
 }
 
 func get[T any](c *Client, path string) (T, error) {
 	var value T
-	status, answer, err := c.exchange(fasthttp.MethodGet, path, nil)
+	statusCode, responseBody, err := c.do(fasthttp.MethodGet, path, nil)
 	if err != nil {
 		return value, err
 	}
-	if status != fasthttp.StatusOK {
-		return value, c.refusal(status, answer)
+	if statusCode != fasthttp.StatusOK {
+		return value, c.newAPIError(statusCode, responseBody)
 	}
-	return value, errors.Wrapf(json.Unmarshal(answer, &value), "decode the answer of instance %s", c.address)
+	return value, errors.Wrapf(json.Unmarshal(responseBody, &value), "decode response of instance %s", c.address)
 }
 
-func (c *Client) exchange(method, path string, body []byte) (int, []byte, error) {
+func (c *Client) do(method, path string, body []byte) (int, []byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -168,17 +170,17 @@
 	}
 	request.SetBody(body)
 	if err := c.http.DoTimeout(request, response, requestTimeout); err != nil {
-		return 0, nil, errors.Wrapf(err, "ask instance %s", c.address)
+		return 0, nil, errors.Wrapf(err, "send request to instance %s", c.address)
 	}
 	return response.StatusCode(), append([]byte(nil), response.Body()...), nil
 }
 
-func (c *Client) refusal(status int, answer []byte) error {
-	var body struct {
+func (c *Client) newAPIError(statusCode int, responseBody []byte) error {
+	var reply struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(answer, &body) != nil || body.Error == "" {
-		body.Error = "it did not answer in the expected form"
+	if json.Unmarshal(responseBody, &reply) != nil || reply.Error == "" {
+		reply.Error = "the response contains no error message"
 	}
-	return &APIError{status: status, peer: c.address, message: body.Error}
+	return &APIError{statusCode: statusCode, instance: c.address, message: reply.Error}
 }
--- a/pkg/operator/doc.go
+++ b/pkg/operator/doc.go
@@ -1,2 +1,2 @@
-// Package operator is the administration API and its client.
+// Package operator implements the administration API of an instance: its server and a client.
 package operator
--- a/pkg/operator/server.go
+++ b/pkg/operator/server.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	maxBody        = 8 << 20
-	maxRows        = 20_000
-	adviceUnknown  = "ask with `lovagedeck table put --change-id ID` or GET /changes/ID; the same change id never takes effect twice"
-	adviceConflict = "run `lovagedeck table get`, make the edit on the present rows, and put it again"
+	maxBodyBytes     = 8 << 20
+	maxRowsPerChange = 20_000
+	adviceUnknown    = "ask with `lovagedeck table put --change-id ID` or GET /changes/ID; the same change id never takes effect twice"
+	adviceConflict   = "run `lovagedeck table get`, make the edit on the present rows, and put it again"
 )
 
 type (
-	// Backend is what the administration API needs of its instance.
+	// Backend is the interface to the instance that the administration API serves.
 	Backend interface {
 		Status() Status
 		View() *tabulator.View
@@ -45,27 +45,30 @@
 		WriteMetrics(w io.Writer)
 	}
 
-	// Config is what a Server needs.
+	// Config holds the dependencies and the access tokens of a Server.
 	Config struct {
-		Backend         Backend
+		Backend Backend
+		// ReadTokenSHA256 is the SHA-256 hash, in hexadecimal digits, of the token that allows reads only.
 		ReadTokenSHA256 string
-		// WriteTokenSHA256 is the sum of the token that may also change; both sums empty leave the API open.
+		// WriteTokenSHA256 is the hash of the token that allows reads and changes. If both hashes are empty, the API requires
+		// no token.
 		WriteTokenSHA256 string
-		TLS              *tls.Config
+		// TLS is the configuration for HTTPS; nil selects plain HTTP.
+		TLS *tls.Config
 	}
 
-	// Server is the administration API of one instance.
+	// Server serves the administration API of one instance.
 	Server struct {
 		*acceptor.Acceptor
 		config Config
 	}
 )
 
-// New returns a server; Serve starts it.
+// New returns a server that accepts no connections until Serve is called.
 func New(config Config) *Server {
 	s := &Server{config: config}
-	app := fiber.New(fiber.Config{BodyLimit: maxBody, ErrorHandler: answerError})
-	read, write := s.allow(false), s.allow(true)
+	app := fiber.New(fiber.Config{BodyLimit: maxBodyBytes, ErrorHandler: sendError})
+	read, write := s.requireToken(false), s.requireToken(true)
 	app.Get("/status", read, s.onStatus)
 	app.Get("/table", read, s.onTable)
 	app.Get("/changes/:id", read, s.onLookup)
@@ -82,29 +85,30 @@
 	return s
 }
 
-// allow lets a request pass whose token is good for reading, or for changes as well.
-func (s *Server) allow(change bool) fiber.Handler {
+// requireToken returns a handler that rejects requests without a valid token. The write token allows every request, the
+// read token only those that change nothing.
+func (s *Server) requireToken(isWrite bool) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		if s.config.ReadTokenSHA256 == "" && s.config.WriteTokenSHA256 == "" {
 			return c.Next()
 		}
-		sum := sha256.Sum256([]byte(strings.TrimPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")))
-		presented := hex.EncodeToString(sum[:])
-		if same(presented, s.config.WriteTokenSHA256) {
+		hash := sha256.Sum256([]byte(strings.TrimPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")))
+		tokenHash := hex.EncodeToString(hash[:])
+		if matchesHash(tokenHash, s.config.WriteTokenSHA256) {
 			return c.Next()
 		}
-		if same(presented, s.config.ReadTokenSHA256) {
-			if !change {
+		if matchesHash(tokenHash, s.config.ReadTokenSHA256) {
+			if !isWrite {
 				return c.Next()
 			}
-			return fiber.NewError(fiber.StatusForbidden, "this token may read only; use the write token")
+			return fiber.NewError(fiber.StatusForbidden, "this token allows reads only; use the write token")
 		}
-		return fiber.NewError(fiber.StatusUnauthorized, "the bearer token is missing or not known")
+		return fiber.NewError(fiber.StatusUnauthorized, "the bearer token is missing or unknown")
 	}
 }
 
-func same(presented, expected string) bool {
-	return expected != "" && subtle.ConstantTimeCompare([]byte(presented), []byte(expected)) == 1
+func matchesHash(hash, expected string) bool {
+	return expected != "" && subtle.ConstantTimeCompare([]byte(hash), []byte(expected)) == 1
 }
 
 func (s *Server) onStatus(c fiber.Ctx) error { return c.JSON(s.config.Backend.Status()) }
@@ -123,7 +127,7 @@
 	if err := json.Unmarshal(c.Body(), &body); err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, "decode change: "+err.Error())
 	}
-	if len(body.Rows) > maxRows {
+	if len(body.Rows) > maxRowsPerChange {
 		return fiber.NewError(fiber.StatusBadRequest, "decode change: too many rows in one change")
 	}
 	return s.propose(c, body.ChangeID, body)
@@ -142,8 +146,8 @@
 		return fiber.NewError(fiber.StatusBadRequest, "decode change: change-id is missing")
 	}
 	reply, err := s.config.Backend.Propose(command)
-	change := toChange(changeID, reply, err)
-	return c.Status(changeStatus(change.Outcome)).JSON(change)
+	change := newChangeResult(changeID, reply, err)
+	return c.Status(httpStatus(change.Outcome)).JSON(change)
 }
 
 func (s *Server) onLookup(c fiber.Ctx) error {
@@ -158,7 +162,7 @@
 	if !reply.Known {
 		return fiber.NewError(fiber.StatusNotFound, "no outcome is recorded for this change id; send the change again with the same id")
 	}
-	return c.JSON(toChange(strings.Clone(id), controller.ProposeReply{Result: reply.Result}, nil))
+	return c.JSON(newChangeResult(strings.Clone(id), controller.ProposeReply{Result: reply.Result}, nil))
 }
 
 func (s *Server) onInForce(c fiber.Ctx) error {
@@ -171,7 +175,7 @@
 		return fiber.NewError(fiber.StatusServiceUnavailable, err.Error())
 	}
 	return c.JSON(InForce{
-		Revision: revision, Acting: reply.Acting, Members: reply.Members, Everywhere: reply.Everywhere, After: reply.After,
+		Revision: revision, UpToDate: reply.Acting, Members: reply.Members, IsEverywhere: reply.Everywhere, Elapsed: reply.After,
 	})
 }
 
@@ -188,7 +192,7 @@
 	if text := c.Query("since"); text != "" {
 		since, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
-			return fiber.NewError(fiber.StatusBadRequest, "since is not a time such as 2026-01-02T15:04:05Z")
+			return fiber.NewError(fiber.StatusBadRequest, "since is not an RFC 3339 time such as 2026-01-02T15:04:05Z")
 		}
 		filter.Since = since
 	}
@@ -202,7 +206,7 @@
 func (s *Server) onTrace(c fiber.Ctx) error {
 	trace, ok := s.config.Backend.Trace(c.Params("id"))
 	if !ok {
-		return fiber.NewError(fiber.StatusNotFound, "this instance keeps no such query")
+		return fiber.NewError(fiber.StatusNotFound, "this instance has no trace of this query")
 	}
 	return c.JSON(trace)
 }
@@ -214,31 +218,31 @@
 }
 
 func (s *Server) onConfigure(c fiber.Ctx) error {
-	var body ConfigureBody
+	var body ConfigureRequest
 	if err := json.Unmarshal(c.Body(), &body); err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, "decode change: "+err.Error())
 	}
 	reply, err := s.config.Backend.Configure(body.Action, replicator.NodeID(body.Node))
-	change := toChange("", controller.ProposeReply{Refused: reply.Refused, Unknown: reply.Unknown}, err)
+	change := newChangeResult("", controller.ProposeReply{Refused: reply.Refused, Unknown: reply.Unknown}, err)
 	if reply.Refused == "" && !reply.Unknown && err == nil {
 		change.Outcome = OutcomeAccepted
 	}
-	return c.Status(changeStatus(change.Outcome)).JSON(change)
+	return c.Status(httpStatus(change.Outcome)).JSON(change)
 }
 
-func toChange(changeID string, reply controller.ProposeReply, err error) Change {
-	change := Change{
+func newChangeResult(changeID string, reply controller.ProposeReply, err error) ChangeResult {
+	change := ChangeResult{
 		ChangeID: changeID, Revision: reply.Result.Revision, Conflicts: reply.Result.Conflicts,
-		Faults: reply.Result.Faults, Repeated: reply.Result.Repeated,
+		Errors: reply.Result.Faults, IsRepeated: reply.Result.Repeated,
 	}
 	switch {
 	case reply.Unknown:
 		change.Outcome, change.Advice = OutcomeUnknown, adviceUnknown
 	case reply.Refused != "":
-		change.Outcome, change.Faults = OutcomeRefused, []string{reply.Refused}
+		change.Outcome, change.Errors = OutcomeRefused, []string{reply.Refused}
 	case err != nil:
 		change.Outcome, change.Advice = OutcomeUnknown, adviceUnknown
-		change.Faults = []string{err.Error()}
+		change.Errors = []string{err.Error()}
 	case reply.Result.Verdict == tabulator.VerdictConflict:
 		change.Outcome, change.Advice = OutcomeConflict, adviceConflict
 	case reply.Result.Verdict == tabulator.VerdictInvalid:
@@ -249,7 +253,7 @@
 	return change
 }
 
-func changeStatus(outcome ChangeOutcome) int {
+func httpStatus(outcome ChangeOutcome) int {
 	switch outcome {
 	case OutcomeAccepted:
 		return fiber.StatusOK
@@ -263,7 +267,7 @@
 	return fiber.StatusServiceUnavailable
 }
 
-func answerError(c fiber.Ctx, err error) error {
+func sendError(c fiber.Ctx, err error) error {
 	return c.Status(acceptor.StatusOf(err)).JSON(struct {
 		Error string `json:"error"`
 	}{Error: err.Error()})
--- a/pkg/operator/wire.go
+++ b/pkg/operator/wire.go
@@ -1,14 +1,14 @@
 // The administration API is HTTP with JSON bodies and a bearer token:
 //
 //	GET  /status                 state of this instance and of the control instances
-//	GET  /table                  rows and data centres
+//	GET  /table                  rows and data centres of the table
 //	POST /table                  {"change-id":"c1","operator":"bold","rows":[...]}
 //	POST /data-centre            {"change-id":"c2","operator":"bold","name":"ub-a","state":"out","base":0}
-//	GET  /changes/ID             the recorded outcome of a change
-//	GET  /in-force/REVISION      how many instances act on a revision
+//	GET  /changes/ID             recorded outcome of a change
+//	GET  /in-force/REVISION      how many instances use a table revision
 //	GET  /history                accepted and refused changes
-//	GET  /events                 the time line of this instance
-//	GET  /traces and /traces/ID  kept queries
+//	GET  /events                 timeline of this instance
+//	GET  /traces and /traces/ID  traces of the slowest queries, or of one query
 //	POST /control                {"action":"add-learner","node":"control-4/8d1f"}
 //	GET  /metrics                metrics in the Prometheus text format
 
@@ -25,34 +25,37 @@
 )
 
 const (
-	// OutcomeAccepted says that a majority has the change on disk.
+	// OutcomeAccepted means that a majority of the control instances has stored the change on disk.
 	OutcomeAccepted ChangeOutcome = "accepted"
-	// OutcomeConflict says that another change came first.
+	// OutcomeConflict means that the change is based on rows that another change has modified since.
 	OutcomeConflict ChangeOutcome = "conflict"
-	// OutcomeInvalid says that cells cannot be held.
+	// OutcomeInvalid means that the change contains invalid values.
 	OutcomeInvalid ChangeOutcome = "invalid"
-	// OutcomeRefused says that the change was not taken and will not be.
+	// OutcomeRefused means that the change was rejected and will not take effect.
 	OutcomeRefused ChangeOutcome = "refused"
-	// OutcomeUnknown says that the change may be accepted; ask again with its change id.
+	// OutcomeUnknown means that the change may or may not be accepted, and that its outcome can be queried by its change id.
 	OutcomeUnknown ChangeOutcome = "unknown"
 )
 
 type (
-	// ChangeOutcome is the outcome of a change as a typed word.
+	// ChangeOutcome is the outcome of a change.
 	ChangeOutcome string
 
-	// Change is the answer to a change.
-	Change struct {
+	// ChangeResult is the response to a change.
+	ChangeResult struct {
 		Outcome   ChangeOutcome        `json:"outcome"`
 		ChangeID  string               `json:"change-id"`
 		Revision  uint64               `json:"revision"`
 		Conflicts []tabulator.Conflict `json:"conflicts,omitempty"`
-		Faults    []string             `json:"faults,omitempty"`
-		Repeated  bool                 `json:"repeated,omitempty"`
-		Advice    string               `json:"advice,omitempty"`
+		// Errors describes the invalid values, or holds the reason if the change was refused or its outcome is unknown.
+		Errors []string `json:"faults,omitempty"`
+		// IsRepeated is set if the change id had been processed before and this is the outcome recorded then.
+		IsRepeated bool `json:"repeated,omitempty"`
+		// Advice tells the operator what to do about a conflict or an unknown outcome.
+		Advice string `json:"advice,omitempty"`
 	}
 
-	// Table is the table that is in force at an instance.
+	// Table is the table that an instance currently uses.
 	Table struct {
 		Revision      uint64                 `json:"revision"`
 		TableRevision uint64                 `json:"table-revision"`
@@ -60,65 +63,74 @@
 		DataCentres   []tabulator.DataCentre `json:"data-centres"`
 	}
 
-	// ControlStatus is the state of one control instance.
+	// ControlStatus is the state of one control instance and of its replicated log.
 	ControlStatus struct {
-		Address  string            `json:"address"`
-		Node     string            `json:"node"`
-		Role     string            `json:"role"`
-		Leader   string            `json:"leader"`
-		Term     uint64            `json:"term"`
-		Commit   uint64            `json:"commit"`
-		Log      int               `json:"log-length"`
-		Voters   []string          `json:"voters"`
-		Learners []string          `json:"learners"`
-		Match    map[string]uint64 `json:"match,omitempty"`
-		Revision uint64            `json:"revision"`
-		Sessions int               `json:"sessions"`
-		Failed   string            `json:"failed,omitempty"`
+		Address string `json:"address"`
+		Node    string `json:"node"`
+		Role    string `json:"role"`
+		Leader  string `json:"leader"`
+		Term    uint64 `json:"term"`
+		Commit  uint64 `json:"commit"`
+		// LogLength is the number of entries in the replicated log.
+		LogLength int      `json:"log-length"`
+		Voters    []string `json:"voters"`
+		Learners  []string `json:"learners"`
+		// MatchIndexes holds the index of the last log entry that each member is known to have stored.
+		MatchIndexes map[string]uint64 `json:"match,omitempty"`
+		Revision     uint64            `json:"revision"`
+		// Sessions is the number of instances that hold a lease from this control instance.
+		Sessions int `json:"sessions"`
+		// Error is the error for which this control instance stopped, or empty.
+		Error string `json:"failed,omitempty"`
 	}
 
 	// Status is the state of one instance.
 	Status struct {
-		Instance    string                      `json:"instance"`
-		Incarnation string                      `json:"incarnation"`
-		DataCentre  string                      `json:"data-centre"`
-		Ready       bool                        `json:"ready"`
-		Revision    uint64                      `json:"revision"`
-		Epoch       uint64                      `json:"epoch"`
-		Leafs       int                         `json:"leafs-owned"`
-		Queries     int                         `json:"queries-open"`
+		Instance    string `json:"instance"`
+		Incarnation string `json:"incarnation"`
+		DataCentre  string `json:"data-centre"`
+		IsReady     bool   `json:"ready"`
+		Revision    uint64 `json:"revision"`
+		Epoch       uint64 `json:"epoch"`
+		// OwnedLeafs is the number of leafs that this instance owns.
+		OwnedLeafs int `json:"leafs-owned"`
+		// OpenQueries is the number of queries that are running at this instance.
+		OpenQueries int                         `json:"queries-open"`
 		Members     []tabulator.MemberFields    `json:"members"`
 		DataCentres []tabulator.DataCentre      `json:"data-centres"`
 		Control     []ControlStatus             `json:"control"`
 		Conditions  map[string]fellow.Condition `json:"conditions,omitempty"`
 	}
 
-	// InForce tells how many instances act on a revision.
+	// InForce reports how many instances use a table revision.
 	InForce struct {
-		Revision   uint64        `json:"revision"`
-		Acting     int           `json:"acting"`
-		Members    int           `json:"members"`
-		Everywhere bool          `json:"everywhere"`
-		After      time.Duration `json:"after-ns"`
+		Revision uint64 `json:"revision"`
+		// UpToDate is the number of instances that use this revision or a later one.
+		UpToDate int `json:"acting"`
+		Members  int `json:"members"`
+		// IsEverywhere is set if no instance uses an earlier revision, because all use this one or older leases have expired.
+		IsEverywhere bool `json:"everywhere"`
+		// Elapsed is the time since the revision was accepted.
+		Elapsed time.Duration `json:"after-ns"`
 	}
 
-	// Traces are kept queries.
+	// Traces holds the traces of queries, slowest first.
 	Traces struct {
 		Traces []tracer.Trace `json:"traces"`
 	}
 
-	// Events is the time line of one instance.
+	// Events holds events from the timeline of one instance, oldest first.
 	Events struct {
 		Events []timeliner.Event `json:"events"`
 	}
 
-	// History has the changes of operators.
+	// History holds the recorded changes to the table.
 	History struct {
 		Entries []tabulator.HistoryEntry `json:"entries"`
 	}
 
-	// ConfigureBody changes the control members by one.
-	ConfigureBody struct {
+	// ConfigureRequest is the request body to add, promote or remove one control member.
+	ConfigureRequest struct {
 		Action controller.ConfigAction `json:"action"`
 		Node   string                  `json:"node"`
 	}
--- a/pkg/recorder/doc.go
+++ b/pkg/recorder/doc.go
@@ -1,2 +1,2 @@
-// Package recorder writes structured log lines without ever blocking who logs.
+// Package recorder writes structured log lines without blocking the goroutines that log.
 package recorder
--- a/pkg/recorder/recorder.go
+++ b/pkg/recorder/recorder.go
@@ -1,5 +1,6 @@
-// Lines go through a bounded queue to one writer. Each message has a rate; what
-// exceeds it, or the queue, is counted and the count is written as a line:
+// Lines pass through a bounded queue to one writer goroutine. The rate of lines
+// with the same message is limited. Lines that exceed the rate or the queue are
+// dropped, and their number is logged:
 //
 //	{"level":"info","ts":"...","msg":"recorder: lines left out","over-rate":12,"queue-full":0}
 
@@ -17,41 +18,41 @@
 )
 
 const (
-	// queueLines is how many lines wait for the writer at most; at 300 bytes a line that is about a megabyte.
-	queueLines = 4096
-	// perSecond is how many lines of one message are written each second.
-	perSecond = 200
-	// reportInterval is how often lines that were left out are reported.
+	// maxQueuedLines is the capacity of the queue. At 300 bytes a line, a full queue takes about 1 MB.
+	maxQueuedLines = 4096
+	// maxLinesPerSecond is the rate limit for lines with the same message.
+	maxLinesPerSecond = 200
+	// reportInterval is the time between two reports of dropped lines.
 	reportInterval = time.Second
 )
 
-// Recorder is the queue and its writer.
+// Recorder queues log lines and writes them from one goroutine.
 type Recorder struct {
-	out      io.Writer
-	lines    chan []byte
-	flushes  chan chan struct{}
-	full     atomic.Int64
-	overRate atomic.Int64
+	out              io.Writer
+	lines            chan []byte
+	flushes          chan chan struct{}
+	droppedQueueFull atomic.Int64
+	droppedOverRate  atomic.Int64
 }
 
-// New returns a recorder that writes to out until the process ends.
+// New returns a recorder whose goroutine writes to out until the process ends.
 func New(out io.Writer) *Recorder {
-	r := &Recorder{out: out, lines: make(chan []byte, queueLines), flushes: make(chan chan struct{})}
+	r := &Recorder{out: out, lines: make(chan []byte, maxQueuedLines), flushes: make(chan chan struct{})}
 	go r.writeLoop()
 	return r
 }
 
-// Write queues one line; it never blocks and never fails.
+// Write queues a copy of the line, or drops the line if the queue is full, and always returns a nil error.
 func (r *Recorder) Write(line []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), line...):
 	default:
-		r.full.Add(1)
+		r.droppedQueueFull.Add(1)
 	}
 	return len(line), nil
 }
 
-// Sync waits a moment until what is queued was written.
+// Sync waits until the queued lines are written, and gives up if that does not start within one second.
 func (r *Recorder) Sync() error {
 	done := make(chan struct{})
 	select {
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// Logger returns a logger whose lines carry the part of the product that writes them; level "debug" adds the lines of V(1).
-func (r *Recorder) Logger(part, level string) logr.Logger {
+// Logger returns a logger that adds the name of the component to each line and writes V(1) lines only at level "debug".
+func (r *Recorder) Logger(component, level string) logr.Logger {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	threshold := zapcore.InfoLevel
@@ -71,14 +72,14 @@
 		threshold = zapcore.DebugLevel
 	}
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(config), r, threshold)
-	core = plainErrors{core}
-	sampled := zapcore.NewSamplerWithOptions(core, time.Second, perSecond, 0,
+	core = stacklessCore{core}
+	sampled := zapcore.NewSamplerWithOptions(core, time.Second, maxLinesPerSecond, 0,
 		zapcore.SamplerHook(func(_ zapcore.Entry, decision zapcore.SamplingDecision) {
 			if decision&zapcore.LogDropped != 0 {
-				r.overRate.Add(1)
+				r.droppedOverRate.Add(1)
 			}
 		}))
-	logger := zapr.NewLogger(zap.New(sampled)).WithValues("part", part)
+	logger := zapr.NewLogger(zap.New(sampled)).WithValues("part", component)
 	go r.reportLoop(logger)
 	return logger
 }
@@ -108,44 +109,44 @@
 
 func (r *Recorder) reportLoop(logger logr.Logger) {
 	for range time.Tick(reportInterval) {
-		overRate, full := r.overRate.Swap(0), r.full.Swap(0)
-		if overRate+full > 0 {
-			logger.Info("recorder: lines left out", "over-rate", overRate, "queue-full", full)
+		overRate, queueFull := r.droppedOverRate.Swap(0), r.droppedQueueFull.Swap(0)
+		if overRate+queueFull > 0 {
+			logger.Info("recorder: lines left out", "over-rate", overRate, "queue-full", queueFull)
 		}
 	}
 }
 
-// plainErrors writes errors as one line, without the stack that they carry.
-type plainErrors struct {
+// stacklessCore writes errors as their message only, without the stack trace that pkg/errors attaches.
+type stacklessCore struct {
 	zapcore.Core
 }
 
-// With returns a core with more fields.
-func (p plainErrors) With(fields []zapcore.Field) zapcore.Core {
-	return plainErrors{p.Core.With(plain(fields))}
+// With returns a core that adds the fields to each line.
+func (c stacklessCore) With(fields []zapcore.Field) zapcore.Core {
+	return stacklessCore{c.Core.With(withoutStacks(fields))}
 }
 
-// Check adds this core where the level is written.
-func (p plainErrors) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if p.Enabled(entry.Level) {
-		return checked.AddCore(entry, p)
+// Check adds this core to checked if the level of the entry is enabled.
+func (c stacklessCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if c.Enabled(entry.Level) {
+		return checked.AddCore(entry, c)
 	}
 	return checked
 }
 
-// Write writes the line.
-func (p plainErrors) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+// Write writes the entry and its fields without stack traces.
+func (c stacklessCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	entry.Stack = ""
-	return p.Core.Write(entry, plain(fields))
+	return c.Core.Write(entry, withoutStacks(fields))
 }
 
-func plain(fields []zapcore.Field) []zapcore.Field {
-	kept := make([]zapcore.Field, len(fields))
+func withoutStacks(fields []zapcore.Field) []zapcore.Field {
+	converted := make([]zapcore.Field, len(fields))
 	for i, field := range fields {
-		kept[i] = field
+		converted[i] = field
 		if err, ok := field.Interface.(error); ok && field.Type == zapcore.ErrorType {
-			kept[i] = zap.String(field.Key, err.Error())
+			converted[i] = zap.String(field.Key, err.Error())
 		}
 	}
-	return kept
+	return converted
 }
--- a/pkg/recorder/recorder_test.go
+++ b/pkg/recorder/recorder_test.go
@@ -13,32 +13,32 @@
 	"github.com/pkg/errors"
 )
 
-// blocked takes nothing until it is opened.
-type blocked struct {
-	open  chan bool
-	mu    sync.Mutex
-	taken bytes.Buffer
+// blockedWriter blocks each write until unblock is closed.
+type blockedWriter struct {
+	unblock chan bool
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
-	<-b.open
+func (b *blockedWriter) Write(p []byte) (int, error) {
+	<-b.unblock
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.taken.Write(p)
+	return b.written.Write(p)
 }
 
-func (b *blocked) text() string {
+func (b *blockedWriter) text() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.taken.String()
+	return b.written.String()
 }
 
-func TestLoggingNeverBlocks(t *testing.T) {
-	out := &blocked{open: make(chan bool)}
+func TestLoggerDoesNotBlock(t *testing.T) {
+	out := &blockedWriter{unblock: make(chan bool)}
 	logger := New(out).Logger("entry", "info")
 	done := make(chan bool)
 	go func() {
-		for i := range 4 * queueLines {
+		for i := range 4 * maxQueuedLines {
 			logger.Info(fmt.Sprint("line ", i))
 		}
 		close(done)
@@ -46,42 +46,42 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("logging waits for an output that takes nothing")
+		t.Fatal("logging is still blocked after 5 s, want it not to wait for a blocked output")
 	}
-	close(out.open)
+	close(out.unblock)
 	for range 100 {
 		if strings.Contains(out.text(), "lines left out") {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Error("the lines that were left out are not reported")
+	t.Errorf("got no report of dropped lines, want one after more than %d lines", maxQueuedLines)
 }
 
-func TestOneMessageKeepsToItsRate(t *testing.T) {
+func TestLoggerLimitsRateOfMessage(t *testing.T) {
 	var out syncBuffer
-	recorder := New(&out)
-	logger := recorder.Logger("entry", "info")
-	for range 10 * perSecond {
-		logger.Info("the same")
+	r := New(&out)
+	logger := r.Logger("entry", "info")
+	for range 10 * maxLinesPerSecond {
+		logger.Info("same message")
 	}
-	_ = recorder.Sync()
-	if got := strings.Count(out.String(), "the same"); got < perSecond || got > 2*perSecond {
-		t.Errorf("%d lines in a moment, want about %d", got, perSecond)
+	_ = r.Sync()
+	if got := strings.Count(out.String(), "same message"); got < maxLinesPerSecond || got > 2*maxLinesPerSecond {
+		t.Errorf("got %d lines with the same message, want %d to %d", got, maxLinesPerSecond, 2*maxLinesPerSecond)
 	}
 }
 
-func TestErrorsAreOneLineWithoutStack(t *testing.T) {
+func TestLoggerWritesErrorWithoutStack(t *testing.T) {
 	var out syncBuffer
-	recorder := New(&out)
-	recorder.Logger("entry", "info").Error(errors.Wrap(io.EOF, "read the list"), "it failed", "peer", "x")
-	_ = recorder.Sync()
+	r := New(&out)
+	r.Logger("entry", "info").Error(errors.Wrap(io.EOF, "read roster"), "read failed", "peer", "x")
+	_ = r.Sync()
 	var line map[string]any
 	if err := json.Unmarshal([]byte(out.String()), &line); err != nil {
 		t.Fatalf("%v: %s", err, out.String())
 	}
-	if line["error"] != "read the list: EOF" || line["errorVerbose"] != nil || line["stacktrace"] != nil || line["part"] != "entry" {
-		t.Errorf("got %v", line)
+	if line["error"] != "read roster: EOF" || line["errorVerbose"] != nil || line["stacktrace"] != nil || line["part"] != "entry" {
+		t.Errorf("got line %v, want the error as one string and no stack trace", line)
 	}
 }
 
--- a/pkg/runner/certificates.go
+++ b/pkg/runner/certificates.go
@@ -25,8 +25,8 @@
 
 func newCertificates(settings configurer.Settings) (*certificates, error) {
 	c := &certificates{
-		certificate: settings.Path(settings.TLS.Certificate), key: settings.Path(settings.TLS.Key),
-		authority: settings.Path(settings.TLS.Authority),
+		certificate: settings.ResolvePath(settings.TLS.Certificate), key: settings.ResolvePath(settings.TLS.Key),
+		authority: settings.ResolvePath(settings.TLS.Authority),
 	}
 	if c.certificate == "" {
 		return c, nil
--- a/pkg/runner/founding.go
+++ b/pkg/runner/founding.go
@@ -15,14 +15,14 @@
 
 // CheckFounding returns an error when a control instance of the settings already holds a log.
 func CheckFounding(settings configurer.Settings) error {
-	key, err := os.ReadFile(settings.Path(settings.KeyFile))
+	key, err := os.ReadFile(settings.ResolvePath(settings.KeyFile))
 	if err != nil {
 		return errors.Wrap(err, "check the founding: read key-file")
 	}
 	var addresses []string
 	for _, member := range settings.Control {
 		if member.Instance != settings.Instance {
-			addresses = append(addresses, member.Fellow)
+			addresses = append(addresses, member.PeerAddress)
 		}
 	}
 	begun := time.Now()
--- a/pkg/runner/handler.go
+++ b/pkg/runner/handler.go
@@ -45,8 +45,8 @@
 	view := i.View()
 	status := operator.Status{
 		Instance: i.self.Instance, Incarnation: strconv.FormatUint(i.self.Incarnation, 16), DataCentre: i.settings.DataCentre,
-		Ready: i.Ready(), Revision: view.Revision(), Epoch: view.Epoch(), Leafs: i.owner.LeafCount(),
-		Queries: i.dispatcher.OpenQueries(), DataCentres: view.DataCentres(), Conditions: map[string]fellow.Condition{},
+		IsReady: i.Ready(), Revision: view.Revision(), Epoch: view.Epoch(), OwnedLeafs: i.owner.LeafCount(),
+		OpenQueries: i.dispatcher.OpenQueries(), DataCentres: view.DataCentres(), Conditions: map[string]fellow.Condition{},
 	}
 	for _, member := range view.Members() {
 		status.Members = append(status.Members, member.Fields())
@@ -104,8 +104,8 @@
 	}
 	status := operator.ControlStatus{
 		Address: address, Node: string(reply.Status.ID), Role: string(reply.Status.Role), Leader: string(reply.Status.Leader),
-		Term: reply.Status.Term, Commit: reply.Status.Commit, Log: reply.Status.LogLength, Revision: reply.Revision,
-		Sessions: reply.Sessions, Failed: reply.Failed, Match: map[string]uint64{},
+		Term: reply.Status.Term, Commit: reply.Status.Commit, LogLength: reply.Status.LogLength, Revision: reply.Revision,
+		Sessions: reply.Sessions, Error: reply.Failed, MatchIndexes: map[string]uint64{},
 	}
 	for _, id := range reply.Status.Config.Voters {
 		status.Voters = append(status.Voters, string(id))
@@ -114,7 +114,7 @@
 		status.Learners = append(status.Learners, string(id))
 	}
 	for id, match := range reply.Status.Match {
-		status.Match[string(id)] = match
+		status.MatchIndexes[string(id)] = match
 	}
 	return status
 }
--- a/pkg/runner/instance.go
+++ b/pkg/runner/instance.go
@@ -114,7 +114,7 @@
 	for _, option := range opts {
 		option(&o)
 	}
-	key, err := os.ReadFile(settings.Path(settings.KeyFile))
+	key, err := os.ReadFile(settings.ResolvePath(settings.KeyFile))
 	if err != nil {
 		return nil, errors.Wrap(err, "start: read key-file")
 	}
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -64,7 +64,7 @@
 }
 
 func (i *Instance) startTraffic(link *linker.Linker) {
-	i.transport = newTransport(link, i.self, i.settings.Listen.Fellow)
+	i.transport = newTransport(link, i.self, i.settings.Listen.Peer)
 	i.client = controller.NewClient(controller.ClientConfig{
 		Member: i.member(), Addresses: i.controlAddresses(), Linker: link, Now: i.now, Random: i.random(1),
 		Timeline: i.timeline, OnView: i.onView,
@@ -82,14 +82,14 @@
 	i.transport.lost = i.dispatcher.OnUndelivered
 	i.mailbox = newMailbox(i.self, i)
 	i.transport.local = i.mailbox
-	i.platform = lister.New(i.settings.Platform, i.onRoster, i.onPlatformFault)
+	i.platform = lister.New(i.settings.PlatformURL, i.onRoster, i.onPlatformFault)
 }
 
 func (i *Instance) startControl(link *linker.Linker) error {
 	if !i.settings.IsControl() {
 		return nil
 	}
-	journal, saved, err := journaler.Open(i.settings.Path(i.settings.DataFolder), i.settings.Cluster, i.settings.Instance)
+	journal, saved, err := journaler.Open(i.settings.ResolvePath(i.settings.DataDir), i.settings.Cluster, i.settings.Instance)
 	if err != nil {
 		return errors.Wrap(err, "start: open data-folder")
 	}
@@ -98,7 +98,7 @@
 	addresses := map[string]string{}
 	for _, member := range i.settings.Control {
 		founders = append(founders, journaler.NodeID(member.Instance, journaler.BootstrapDisk))
-		addresses[member.Instance] = member.Fellow
+		addresses[member.Instance] = member.PeerAddress
 	}
 	if journal.Identity().Disk != journaler.BootstrapDisk {
 		founders = nil
@@ -111,7 +111,7 @@
 }
 
 func (i *Instance) serveFellows(link *linker.Linker) error {
-	listener, err := net.Listen("tcp", i.settings.Listen.Fellow)
+	listener, err := net.Listen("tcp", i.settings.Listen.Peer)
 	if err != nil {
 		return errors.Wrap(err, "start: listen/fellow")
 	}
@@ -129,7 +129,7 @@
 		return errors.Wrap(err, "start: listen/caller")
 	}
 	i.callers = caller.New(caller.Config{
-		Self: i.self, Run: i.dispatcher.Run, Unready: i.Unready, Pass: i.passTicket, Now: i.now, TLS: tlsConfig,
+		Self: i.self, Run: i.dispatcher.Run, UnreadyReason: i.Unready, ForwardTicket: i.passTicket, Now: i.now, TLS: tlsConfig,
 	})
 	i.callers.Serve(listener)
 	return nil
@@ -150,7 +150,7 @@
 func (i *Instance) member() tabulator.MemberFields {
 	return tabulator.MemberFields{
 		Instance: i.self.Instance, Incarnation: i.self.Incarnation, DataCentre: i.settings.DataCentre,
-		FellowAddress: i.settings.Listen.Fellow, OperatorAddress: i.settings.Listen.Operator,
+		FellowAddress: i.settings.Listen.Peer, OperatorAddress: i.settings.Listen.Operator,
 	}
 }
 
@@ -158,7 +158,7 @@
 func (i *Instance) controlAddresses() []string {
 	addresses := make([]string, 0, len(i.settings.Control))
 	for _, member := range i.settings.Control {
-		addresses = append(addresses, member.Fellow)
+		addresses = append(addresses, member.PeerAddress)
 	}
 	sort.Strings(addresses)
 	return addresses
--- a/pkg/supervisor/main.go
+++ b/pkg/supervisor/main.go
@@ -124,11 +124,11 @@
 			return err
 		}
 	}
-	identity, err := journaler.Format(settings.Path(settings.DataFolder), settings.Cluster, settings.Instance, command.Bool("first"))
+	identity, err := journaler.Format(settings.ResolvePath(settings.DataDir), settings.Cluster, settings.Instance, command.Bool("first"))
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(command.Root().Writer, "formatted %s for node %s\n", settings.DataFolder, identity.Node())
+	_, err = fmt.Fprintf(command.Root().Writer, "formatted %s for node %s\n", settings.DataDir, identity.Node())
 	return err
 }
 
--- a/pkg/timeliner/doc.go
+++ b/pkg/timeliner/doc.go
@@ -1,2 +1,3 @@
-// Package timeliner records events under a hybrid logical clock, so that the events of all processes merge into one order.
+// Package timeliner records events with hybrid logical clock timestamps, so that the events of all processes can be merged
+// in causal order.
 package timeliner
--- a/pkg/timeliner/timeliner.go
+++ b/pkg/timeliner/timeliner.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-const keptEvents = 4096
+const maxEvents = 4096
 
 type (
-	// Stamp is a time of the hybrid logical clock: wall time in microseconds and a counter.
-	Stamp struct {
+	// Timestamp is a timestamp of the hybrid logical clock: the wall time in microseconds since the Unix epoch, and a counter
+	// that orders timestamps within one microsecond.
+	Timestamp struct {
 		Micros  int64  `json:"micros"`
 		Counter uint32 `json:"counter"`
 	}
 
-	// Event is something that happened at one instance.
+	// Event is an event that an instance recorded about a peer.
 	Event struct {
-		Stamp    Stamp  `json:"stamp"`
-		Instance string `json:"instance"`
-		Kind     string `json:"kind"`
-		Peer     string `json:"peer"`
-		Text     string `json:"text"`
+		Timestamp Timestamp `json:"stamp"`
+		Instance  string    `json:"instance"`
+		Kind      string    `json:"kind"`
+		Peer      string    `json:"peer"`
+		Text      string    `json:"text"`
 	}
 
-	// Timeline keeps the latest events of one instance.
+	// Timeline holds the latest events of one instance, and is safe for concurrent use.
 	Timeline struct {
-		instance string
-		wall     func() time.Time
-		mu       sync.Mutex
-		last     Stamp
-		events   []Event
-		next     int
+		instance      string
+		wallClock     func() time.Time
+		mu            sync.Mutex
+		lastTimestamp Timestamp
+		events        []Event
+		next          int
 	}
 
-	// Filter selects events; an empty field selects all.
+	// Filter selects events by exact peer, by exact kind and by time; an empty field selects all.
 	Filter struct {
 		Peer  string
 		Kind  string
@@ -43,37 +44,37 @@
 	}
 )
 
-// New returns an empty time line of the instance.
-func New(instance string, wall func() time.Time) *Timeline {
-	return &Timeline{instance: instance, wall: wall}
+// New returns an empty timeline of the instance, which reads the wall time from wallClock.
+func New(instance string, wallClock func() time.Time) *Timeline {
+	return &Timeline{instance: instance, wallClock: wallClock}
 }
 
-// Add records an event now.
+// Add records an event with the current timestamp, and drops the oldest event if the timeline is full.
 func (t *Timeline) Add(kind, peer, text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	event := Event{Stamp: t.advance(), Instance: t.instance, Kind: kind, Peer: peer, Text: text}
-	if len(t.events) < keptEvents {
+	event := Event{Timestamp: t.advance(), Instance: t.instance, Kind: kind, Peer: peer, Text: text}
+	if len(t.events) < maxEvents {
 		t.events = append(t.events, event)
 		return
 	}
 	t.events[t.next] = event
-	t.next = (t.next + 1) % keptEvents
+	t.next = (t.next + 1) % maxEvents
 }
 
-// Now returns a stamp to send along with a message.
-func (t *Timeline) Now() Stamp {
+// Now returns the current timestamp, to be sent with a message.
+func (t *Timeline) Now() Timestamp {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.advance()
 }
 
-// Observe takes the stamp of a received message, so that later events sort after it.
-func (t *Timeline) Observe(stamp Stamp) {
+// Observe advances the clock to the timestamp of a received message, so that later events are ordered after it.
+func (t *Timeline) Observe(timestamp Timestamp) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.last.Before(stamp) {
-		t.last = stamp
+	if t.lastTimestamp.Before(timestamp) {
+		t.lastTimestamp = timestamp
 	}
 }
 
@@ -91,35 +92,36 @@
 	return selected
 }
 
-// Sort orders events of any instances.
+// Sort sorts the events of any number of instances by timestamp.
 func Sort(events []Event) {
-	sort.SliceStable(events, func(i, j int) bool { return events[i].Stamp.Before(events[j].Stamp) })
+	sort.SliceStable(events, func(i, j int) bool { return events[i].Timestamp.Before(events[j].Timestamp) })
 }
 
-// Before tells whether s comes before other.
-func (s Stamp) Before(other Stamp) bool {
-	if s.Micros != other.Micros {
-		return s.Micros < other.Micros
+// Before reports whether s is earlier than other.
+func (t Timestamp) Before(other Timestamp) bool {
+	if t.Micros != other.Micros {
+		return t.Micros < other.Micros
 	}
-	return s.Counter < other.Counter
+	return t.Counter < other.Counter
 }
 
-// Time returns the wall time of the stamp.
-func (s Stamp) Time() time.Time { return time.UnixMicro(s.Micros) }
+// Time returns the wall time of the timestamp.
+func (t Timestamp) Time() time.Time { return time.UnixMicro(t.Micros) }
 
-// String returns the event as one line.
+// String formats the event as one line of text.
 func (e Event) String() string {
-	return fmt.Sprintf("%s.%d %s %s %s %s", e.Stamp.Time().UTC().Format("15:04:05.000000"), e.Stamp.Counter, e.Instance, e.Kind, e.Peer, e.Text)
+	return fmt.Sprintf("%s.%d %s %s %s %s", e.Timestamp.Time().UTC().Format("15:04:05.000000"), e.Timestamp.Counter, e.Instance, e.Kind, e.Peer, e.Text)
 }
 
-func (t *Timeline) advance() Stamp {
-	micros := t.wall().UnixMicro()
-	if micros > t.last.Micros {
-		t.last = Stamp{Micros: micros}
+// advance returns a timestamp later than all before it, even if the wall clock is behind or moves backwards.
+func (t *Timeline) advance() Timestamp {
+	micros := t.wallClock().UnixMicro()
+	if micros > t.lastTimestamp.Micros {
+		t.lastTimestamp = Timestamp{Micros: micros}
 	} else {
-		t.last.Counter++
+		t.lastTimestamp.Counter++
 	}
-	return t.last
+	return t.lastTimestamp
 }
 
 func (f Filter) matches(event Event) bool {
@@ -129,5 +131,5 @@
 	if f.Kind != "" && f.Kind != event.Kind {
 		return false
 	}
-	return event.Stamp.Time().After(f.Since)
+	return event.Timestamp.Time().After(f.Since)
 }
--- a/pkg/timeliner/timeliner_test.go
+++ b/pkg/timeliner/timeliner_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-func TestEventsFollowTheirCauses(t *testing.T) {
+// Guards against an effect that is sorted before its cause because its instance has a clock that is a minute behind.
+func TestSortOrdersEventAfterCause(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ahead := New("a", func() time.Time { return now.Add(time.Minute) })
 	behind := New("b", func() time.Time { return now })
@@ -15,17 +16,17 @@
 	events := append(behind.Events(Filter{}), ahead.Events(Filter{})...)
 	Sort(events)
 	if events[0].Kind != "cause" || events[1].Kind != "effect" {
-		t.Fatalf("%v comes before its cause", events[0])
+		t.Fatalf("got first event %v, want the cause before its effect", events[0])
 	}
 }
 
-func TestFilter(t *testing.T) {
+func TestEventsFilter(t *testing.T) {
 	now := time.Unix(1000, 0)
-	line := New("a", func() time.Time { return now })
-	line.Add("k1", "p1", "")
+	timeline := New("a", func() time.Time { return now })
+	timeline.Add("k1", "p1", "")
 	now = now.Add(time.Minute)
-	line.Add("k1", "p2", "")
-	line.Add("k2", "p2", "")
+	timeline.Add("k1", "p2", "")
+	timeline.Add("k2", "p2", "")
 	tests := []struct {
 		name   string
 		filter Filter
@@ -38,18 +39,18 @@
 		{"kind and peer", Filter{Kind: "k2", Peer: "p1"}, 0},
 	}
 	for _, test := range tests {
-		if got := len(line.Events(test.filter)); got != test.want {
-			t.Errorf("%s: %d events, want %d", test.name, got, test.want)
+		if got := len(timeline.Events(test.filter)); got != test.want {
+			t.Errorf("%s: got %d events, want %d", test.name, got, test.want)
 		}
 	}
 }
 
-func TestTimelineIsBounded(t *testing.T) {
-	line := New("a", time.Now)
-	for range 2 * keptEvents {
-		line.Add("k", "", "")
+func TestTimelineLimitsEvents(t *testing.T) {
+	timeline := New("a", time.Now)
+	for range 2 * maxEvents {
+		timeline.Add("k", "", "")
 	}
-	if got := len(line.Events(Filter{})); got != keptEvents {
-		t.Fatalf("%d events are kept", got)
+	if got := len(timeline.Events(Filter{})); got != maxEvents {
+		t.Fatalf("got %d events, want %d", got, maxEvents)
 	}
 }
--- a/pkg/tracer/doc.go
+++ b/pkg/tracer/doc.go
@@ -1,2 +1,2 @@
-// Package tracer keeps the course of queries and says in a sentence what held one up.
+// Package tracer stores the traces of queries and explains in one sentence what delayed a query.
 package tracer
--- a/pkg/tracer/store.go
+++ b/pkg/tracer/store.go
@@ -1,5 +1,5 @@
-// The store is bounded. It always keeps the slowest queries, the partial
-// ones and the refused ones, and a sample of the rest.
+// The store is bounded. It keeps the slowest queries, the latest queries that
+// were partial, failed or refused, and the latest of a sample of the others.
 
 package tracer
 
@@ -9,22 +9,26 @@
 )
 
 const (
-	keptSlowest   = 64
-	keptIncident  = 512
-	keptSample    = 256
-	sampleEvery   = 20
-	slowestEpochs = 10_000
+	maxSlowest   = 64
+	maxIncidents = 512
+	maxSamples   = 256
+	// samplingInterval is the number of queries per sampled query.
+	samplingInterval = 20
+	// slowestAgingInterval is the number of queries after which the faster half of the slowest ones is dropped, so that newer
+	// queries can take their place.
+	slowestAgingInterval = 10_000
 )
 
-// Store keeps traces of queries.
+// Store holds a bounded number of traces, and is safe for concurrent use.
 type Store struct {
 	mu        sync.Mutex
 	slowest   []Trace
 	incidents ring
-	sample    ring
-	seen      int
+	samples   ring
+	added     int
 }
 
+// ring is a ring buffer of the latest traces.
 type ring struct {
 	traces []Trace
 	next   int
@@ -33,29 +37,29 @@
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{} }
 
-// Add keeps the trace where it is slow, partial, refused or sampled.
+// Add stores the trace if the query is among the slowest, was not complete or is sampled.
 func (s *Store) Add(trace Trace) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen++
-	if s.seen%slowestEpochs == 0 {
+	s.added++
+	if s.added%slowestAgingInterval == 0 {
 		s.slowest = s.slowest[:len(s.slowest)/2]
 	}
-	s.addSlow(trace)
+	s.addSlowest(trace)
 	if trace.Outcome != "complete" {
-		s.incidents.add(trace, keptIncident)
+		s.incidents.add(trace, maxIncidents)
 		return
 	}
-	if s.seen%sampleEvery == 0 {
-		s.sample.add(trace, keptSample)
+	if s.added%samplingInterval == 0 {
+		s.samples.add(trace, maxSamples)
 	}
 }
 
-// Find returns the trace of a query, if it is kept.
+// Find returns the trace of a query and whether the store holds it.
 func (s *Store) Find(id string) (Trace, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, traces := range [][]Trace{s.slowest, s.incidents.traces, s.sample.traces} {
+	for _, traces := range [][]Trace{s.slowest, s.incidents.traces, s.samples.traces} {
 		for _, trace := range traces {
 			if trace.ID == id {
 				return trace, true
@@ -65,22 +69,22 @@
 	return Trace{}, false
 }
 
-// Slowest returns the slowest traces, slowest first.
+// Slowest returns the traces of the slowest queries, slowest first.
 func (s *Store) Slowest() []Trace {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Trace(nil), s.slowest...)
 }
 
-func (s *Store) addSlow(trace Trace) {
-	if len(s.slowest) == keptSlowest && trace.Took <= s.slowest[keptSlowest-1].Took {
+func (s *Store) addSlowest(trace Trace) {
+	if len(s.slowest) == maxSlowest && trace.Took <= s.slowest[maxSlowest-1].Took {
 		return
 	}
-	at := sort.Search(len(s.slowest), func(i int) bool { return s.slowest[i].Took < trace.Took })
+	index := sort.Search(len(s.slowest), func(i int) bool { return s.slowest[i].Took < trace.Took })
 	s.slowest = append(s.slowest, Trace{})
-	copy(s.slowest[at+1:], s.slowest[at:])
-	s.slowest[at] = trace
-	s.slowest = s.slowest[:min(len(s.slowest), keptSlowest)]
+	copy(s.slowest[index+1:], s.slowest[index:])
+	s.slowest[index] = trace
+	s.slowest = s.slowest[:min(len(s.slowest), maxSlowest)]
 }
 
 func (r *ring) add(trace Trace, size int) {
@@ -92,6 +96,6 @@
 	r.next = (r.next + 1) % size
 }
 
-func sortSpans(spans []Span) {
+func sortLatestFirst(spans []Span) {
 	sort.SliceStable(spans, func(i, j int) bool { return spans[i].End() > spans[j].End() })
 }
