--- a/cmd/lovagedeck/main.go
+++ b/cmd/lovagedeck/main.go
@@ -1,4 +1,4 @@
-// Command lovagedeck operates, explains and tries out a query tier.
+// Command lovagedeck operates, inspects and tests a query tier.
 package main
 
 import (
--- a/cmd/lovagedeckd/main.go
+++ b/cmd/lovagedeckd/main.go
@@ -1,4 +1,4 @@
-// Command lovagedeckd runs one instance of the tier.
+// Command lovagedeckd runs one instance of the query tier.
 package main
 
 import (
--- a/pkg/commander/cases_test.go
+++ b/pkg/commander/cases_test.go
@@ -1,9 +1,9 @@
-// A case is a folder: cmd has the arguments, and expected what the program
-// prints, to both outputs, and its exit code:
+// Each test case is a folder. The file cmd holds the arguments, and the file
+// expected holds the combined standard output and standard error and the exit code:
 //
 //	cases/explain/refused-at-start/{cmd,expected,instances.log}
 //
-// After a wanted change of the output, write the new one and read the difference:
+// After an intended change of the output, update the files and review the difference:
 //
 //	go test ./pkg/commander -run TestCases -args -write
 
@@ -19,14 +19,14 @@
 	"testing"
 )
 
-var write = flag.Bool("write", false, "write what the cases print into their folders")
+var updateExpected = flag.Bool("write", false, "update the expected files with the actual output")
 
 func TestCases(t *testing.T) {
-	found, err := filepath.Glob(filepath.Join("cases", "*", "*", "cmd"))
-	if err != nil || len(found) == 0 {
-		t.Fatalf("no cases: %v", err)
+	commandFiles, err := filepath.Glob(filepath.Join("cases", "*", "*", "cmd"))
+	if err != nil || len(commandFiles) == 0 {
+		t.Fatalf("no test cases found: %v", err)
 	}
-	for _, file := range found {
+	for _, file := range commandFiles {
 		folder, err := filepath.Abs(filepath.Dir(file))
 		if err != nil {
 			t.Fatal(err)
@@ -37,14 +37,14 @@
 
 func runCase(t *testing.T, folder string) {
 	t.Chdir(folder)
-	cmd, err := os.ReadFile("cmd")
+	arguments, err := os.ReadFile("cmd")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var output bytes.Buffer
-	code := Main(append([]string{programName}, strings.Fields(string(cmd))...), &output, &output)
+	code := Main(append([]string{programName}, strings.Fields(string(arguments))...), &output, &output)
 	got := output.String() + fmt.Sprintf("exit code %d\n", code)
-	if *write {
+	if *updateExpected {
 		if err := os.WriteFile("expected", []byte(got), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -55,6 +55,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("lovagedeck %s prints\n%s\nwant\n%s", strings.TrimSpace(string(cmd)), got, want)
+		t.Errorf("output of lovagedeck %s:\ngot\n%s\nwant\n%s", strings.TrimSpace(string(arguments)), got, want)
 	}
 }
--- a/pkg/commander/change.go
+++ b/pkg/commander/change.go
@@ -14,38 +14,39 @@
 )
 
 const (
-	inForceWait  = 10 * time.Second
-	inForcePause = 50 * time.Millisecond
-	changeTries  = 3
-	idBytes      = 8
+	inForceTimeout      = 10 * time.Second
+	inForcePollInterval = 50 * time.Millisecond
+	maxChangeAttempts   = 3
+	changeIDBytes       = 8
 )
 
-// changeFlags are the flags of every verb that changes something.
-func changeFlags() []cli.Flag {
-	return append(instanceFlags(),
-		&cli.StringFlag{Name: "change-id", Usage: "send again the change with this `ID`, whose answer was lost"},
-		&cli.StringFlag{Name: "operator", Value: defaultOperatorName(), Usage: "`NAME` that the history shows"},
+// newChangeFlags returns the flags of every subcommand that submits a change.
+func newChangeFlags() []cli.Flag {
+	return append(newInstanceFlags(),
+		&cli.StringFlag{Name: "change-id", Usage: "resend the change with this `ID` after its response was lost"},
+		&cli.StringFlag{Name: "operator", Value: defaultOperatorName(), Usage: "operator `NAME` recorded in the history"},
 		&cli.BoolFlag{Name: "no-wait", Usage: "do not wait until the change is in force"})
 }
 
-// send sends a change, again under the same id while its outcome is unknown, and waits until it is in force.
-func send(command *cli.Command, client *operator.Client, try func(id, who string) (operator.ChangeResult, error)) error {
-	id := command.String("change-id")
-	if id == "" {
+// submitChange submits a change and waits until it is in force. While the outcome is unknown, it resubmits the change
+// with the same ID a limited number of times.
+func submitChange(command *cli.Command, client *operator.Client, submit func(changeID, operatorName string) (operator.ChangeResult, error)) error {
+	changeID := command.String("change-id")
+	if changeID == "" {
 		var err error
-		if id, err = newChangeID(); err != nil {
+		if changeID, err = newChangeID(); err != nil {
 			return err
 		}
 	}
-	change, err := trySeveralTimes(id, command.String("operator"), try)
+	change, err := submitWithRetries(changeID, command.String("operator"), submit)
 	var refusal *operator.APIError
 	if errors.As(err, &refusal) {
 		return errors.Wrap(err, "refused, nothing was changed")
 	}
 	if err != nil {
-		return errors.Wrapf(err, "the outcome of change %s is unknown; send it again with --change-id %s", id, id)
+		return errors.Wrapf(err, "the outcome of change %s is unknown; resend it with --change-id %s", changeID, changeID)
 	}
-	if err := explainChange(change); err != nil {
+	if err := checkChange(change); err != nil {
 		return err
 	}
 	w := command.Root().Writer
@@ -53,14 +54,14 @@
 	if command.Bool("no-wait") {
 		return nil
 	}
-	return awaitInForce(command, client, change.Revision)
+	return waitInForce(command, client, change.Revision)
 }
 
-func trySeveralTimes(id, who string, try func(id, who string) (operator.ChangeResult, error)) (operator.ChangeResult, error) {
+func submitWithRetries(changeID, operatorName string, submit func(changeID, operatorName string) (operator.ChangeResult, error)) (operator.ChangeResult, error) {
 	var change operator.ChangeResult
 	var err error
-	for range changeTries {
-		change, err = try(id, who)
+	for range maxChangeAttempts {
+		change, err = submit(changeID, operatorName)
 		var refusal *operator.APIError
 		if errors.As(err, &refusal) {
 			return change, err
@@ -68,7 +69,7 @@
 		if err == nil && change.Outcome != operator.OutcomeUnknown {
 			return change, nil
 		}
-		progress("the answer was lost, asking again with change id %s", id)
+		printProgressf("the outcome is unknown, resending with change ID %s", changeID)
 	}
 	if err == nil {
 		err = errors.New(change.Advice)
@@ -76,15 +77,15 @@
 	return change, err
 }
 
-func explainChange(change operator.ChangeResult) error {
+func checkChange(change operator.ChangeResult) error {
 	switch change.Outcome {
 	case operator.OutcomeAccepted:
 		return nil
 	case operator.OutcomeConflict:
-		message := "another change came first:"
-		for _, c := range change.Conflicts {
-			message += fmt.Sprintf("\n  %s rests on revision %d and is at %d since change %s of %q; it is now: %s",
-				c.Item, c.Base, c.Current, c.ChangeID, c.Operator, c.Now)
+		message := "conflict with an earlier change:"
+		for _, conflict := range change.Conflicts {
+			message += fmt.Sprintf("\n  %s: based on revision %d, but now at revision %d since change %s by %q; current value: %s",
+				conflict.Item, conflict.Base, conflict.Current, conflict.ChangeID, conflict.Operator, conflict.Now)
 		}
 		return errors.Errorf("%s\n%s", message, change.Advice)
 	}
@@ -95,29 +96,29 @@
 	return errors.New(message)
 }
 
-func awaitInForce(command *cli.Command, client *operator.Client, revision uint64) error {
-	begun := time.Now()
-	told := false
-	for time.Since(begun) < inForceWait {
+func waitInForce(command *cli.Command, client *operator.Client, revision uint64) error {
+	startedAt := time.Now()
+	hasReported := false
+	for time.Since(startedAt) < inForceTimeout {
 		reply, err := client.InForce(revision)
 		if err == nil && reply.IsEverywhere {
 			_, err := fmt.Fprintf(command.Root().Writer, "in force: on %d/%d instances after %s\n",
-				reply.UpToDate, reply.Members, time.Since(begun).Round(time.Millisecond))
+				reply.UpToDate, reply.Members, time.Since(startedAt).Round(time.Millisecond))
 			return err
 		}
-		if time.Since(begun) > 2*time.Second && !told {
-			told = true
-			progress("in force on %d/%d so far, waiting for the leases of the others", reply.UpToDate, reply.Members)
+		if time.Since(startedAt) > 2*time.Second && !hasReported {
+			hasReported = true
+			printProgressf("in force on %d/%d instances so far, waiting for the leases of the others", reply.UpToDate, reply.Members)
 		}
-		time.Sleep(inForcePause)
+		time.Sleep(inForcePollInterval)
 	}
-	return errors.Errorf("the change is accepted, but it could not be learnt within %s that it is in force; run `lovagedeck status`", inForceWait)
+	return errors.Errorf("the change was accepted, but not confirmed to be in force within %s; run `lovagedeck status`", inForceTimeout)
 }
 
 func newChangeID() (string, error) {
-	var raw [idBytes]byte
+	var raw [changeIDBytes]byte
 	if _, err := rand.Read(raw[:]); err != nil {
-		return "", errors.Wrap(err, "make a change id")
+		return "", errors.Wrap(err, "generate a change ID")
 	}
 	return hex.EncodeToString(raw[:]), nil
 }
--- a/pkg/commander/doc.go
+++ b/pkg/commander/doc.go
@@ -1,2 +1,2 @@
-// Package commander is the command line of lovagedeck, one file for each verb.
+// Package commander implements the subcommands of the lovagedeck command line, each in a file of its own.
 package commander
--- a/pkg/commander/flags.go
+++ b/pkg/commander/flags.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	defaultOperator = "127.0.0.1:8301"
-	defaultCaller   = "127.0.0.1:8101"
+	defaultOperatorAddress = "127.0.0.1:8301"
+	defaultCallerAddress   = "127.0.0.1:8101"
 )
 
-func outputFlag() cli.Flag {
-	return &cli.StringFlag{Name: "output", Value: "text", Usage: "print as `FORMAT`: text, json or csv"}
+func newOutputFlag() cli.Flag {
+	return &cli.StringFlag{Name: "output", Value: "text", Usage: "output `FORMAT`: text, json or csv"}
 }
 
-// instanceFlags name the instance whose administration API is called.
-func instanceFlags() []cli.Flag {
+// newInstanceFlags returns the flags that select the instance whose administration API is called, and the output format.
+func newInstanceFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
-			Name: "instance", Value: defaultOperator, Usage: "administration `ADDRESS` of any instance",
+			Name: "instance", Value: defaultOperatorAddress, Usage: "administration `ADDRESS` of any instance",
 			Sources: cli.EnvVars("LOVAGEDECK_INSTANCE"),
 		},
 		&cli.StringFlag{Name: "token-file", Usage: "`FILE` with the bearer token", Sources: cli.EnvVars("LOVAGEDECK_TOKEN_FILE")},
-		&cli.StringFlag{Name: "tls-authority", Usage: "`FILE` with the authority's certificate; turns TLS on"},
-		outputFlag(),
+		&cli.StringFlag{Name: "tls-authority", Usage: "`FILE` with the CA certificate; enables TLS"},
+		newOutputFlag(),
 	}
 }
 
-func operatorClient(command *cli.Command) (*operator.Client, error) {
+func newOperatorClient(command *cli.Command) (*operator.Client, error) {
 	var options []operator.ClientOption
 	if path := command.String("token-file"); path != "" {
 		token, err := os.ReadFile(path)
 		if err != nil {
-			return nil, usagef("--token-file: %v", err)
+			return nil, usageErrorf("--token-file: %v", err)
 		}
 		options = append(options, operator.WithToken(strings.TrimSpace(string(token))))
 	}
-	config, err := clientTLS(command)
+	config, err := newTLSConfig(command)
 	if err != nil {
 		return nil, err
 	}
@@ -54,33 +54,33 @@
 	return operator.NewClient(command.String("instance"), options...), nil
 }
 
-// operatorCall returns what every verb needs that asks instances and prints data.
-func operatorCall(command *cli.Command) (*operator.Client, printer.Format, error) {
-	format, err := outputFormat(command)
+// newClientAndFormat returns the client and the output format of a subcommand that prints data from instances.
+func newClientAndFormat(command *cli.Command) (*operator.Client, printer.Format, error) {
+	format, err := parseOutputFormat(command)
 	if err != nil {
 		return nil, format, err
 	}
-	client, err := operatorClient(command)
+	client, err := newOperatorClient(command)
 	return client, format, err
 }
 
-func clientTLS(command *cli.Command) (*tls.Config, error) {
+func newTLSConfig(command *cli.Command) (*tls.Config, error) {
 	path := command.String("tls-authority")
 	if path == "" {
 		return nil, nil
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, usagef("--tls-authority: %v", err)
+		return nil, usageErrorf("--tls-authority: %v", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, usagef("--tls-authority: %s holds no certificate", path)
+		return nil, usageErrorf("--tls-authority: %s contains no certificate", path)
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}, nil
 }
 
-func outputFormat(command *cli.Command) (printer.Format, error) {
+func parseOutputFormat(command *cli.Command) (printer.Format, error) {
 	format, err := printer.ParseFormat(command.String("output"))
 	if err != nil {
 		return format, &usageError{cause: err}
@@ -88,11 +88,11 @@
 	return format, nil
 }
 
-// allInstances returns a client of each member that the instance knows.
-func allInstances(client *operator.Client) ([]*operator.Client, error) {
+// newMemberClients returns a client for each member that the instance lists, or the given client if it lists none.
+func newMemberClients(client *operator.Client) ([]*operator.Client, error) {
 	status, err := client.Status()
 	if err != nil {
-		return nil, errors.Wrap(err, "ask for the members; name another instance with --instance")
+		return nil, errors.Wrap(err, "get the list of instances; try another instance with --instance")
 	}
 	clients := []*operator.Client{}
 	for _, member := range status.Members {
@@ -104,9 +104,9 @@
 	return clients, nil
 }
 
-// operatorTable returns a client and the present table.
-func operatorTable(command *cli.Command) (*operator.Client, operator.Table, error) {
-	client, err := operatorClient(command)
+// fetchTable returns a client and the current table of its instance.
+func fetchTable(command *cli.Command) (*operator.Client, operator.Table, error) {
+	client, err := newOperatorClient(command)
 	if err != nil {
 		return nil, operator.Table{}, err
 	}
--- a/pkg/commander/main.go
+++ b/pkg/commander/main.go
@@ -1,4 +1,5 @@
-// Main looks the verb up in a table; a new verb is a file and a line here.
+// Each subcommand has a constructor in a file of its own, verb_*.go, and is
+// registered in the list subcommands.
 
 package commander
 
@@ -13,75 +14,75 @@
 )
 
 const (
-	programName = "lovagedeck"
-	exitFailed  = 1
-	exitUsage   = 2
+	programName     = "lovagedeck"
+	exitCodeFailure = 1
+	exitCodeUsage   = 2
 )
 
-// Version is the version of the program.
+// Version is the version that `lovagedeck version` prints.
 const Version = "0.1.0"
 
-var verbs = []func() *cli.Command{
-	verbDemo,
-	verbQuery,
-	verbExplain,
-	verbTimeline,
-	verbTable,
-	verbDataCentre,
-	verbStatus,
-	verbControl,
-	verbBench,
-	verbEmulate,
-	verbVersion,
+var subcommands = []func() *cli.Command{
+	newDemoCommand,
+	newQueryCommand,
+	newExplainCommand,
+	newTimelineCommand,
+	newTableCommand,
+	newDataCentreCommand,
+	newStatusCommand,
+	newControlCommand,
+	newBenchCommand,
+	newEmulateCommand,
+	newVersionCommand,
 }
 
-// usageError is an error in how the command was called.
+// usageError is an error in the arguments or flags of a command; the program then exits with exitCodeUsage.
 type usageError struct {
 	cause error
 }
 
 func (e *usageError) Error() string { return e.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that the usage error wraps.
 func (e *usageError) Unwrap() error { return e.cause }
 
-// Main runs the command line and returns its exit code.
+// Main runs the command line and returns the exit code: 0 on success, 1 on a failure, 2 on a usage error.
 func Main(args []string, stdout, stderr io.Writer) int {
 	root := &cli.Command{
 		Name:           programName,
-		Usage:          "operate, explain and try out a query tier over many shards",
+		Usage:          "operate, inspect and test a query tier over many shards",
 		Writer:         stdout,
 		ErrWriter:      stderr,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   onUsageError,
-		Action:         onUnknownVerb,
+		Action:         onUnknownSubcommand,
 	}
-	for _, verb := range verbs {
-		command := verb()
-		setUsageError(command)
+	for _, newCommand := range subcommands {
+		command := newCommand()
+		setUsageErrorHandler(command)
 		root.Commands = append(root.Commands, command)
 	}
 	err := root.Run(context.Background(), args)
 	if err == nil {
 		return 0
 	}
-	verb := ""
+	subcommand := ""
 	if len(args) > 1 {
-		verb = " " + args[1]
+		subcommand = " " + args[1]
 	}
-	_, _ = fmt.Fprintf(stderr, "%s%s: %v\n", programName, verb, err)
+	_, _ = fmt.Fprintf(stderr, "%s%s: %v\n", programName, subcommand, err)
 	var usage *usageError
 	if errors.As(err, &usage) {
-		_, _ = fmt.Fprintf(stderr, "Please run '%s%s --help' for usage.\n", programName, verb)
-		return exitUsage
+		_, _ = fmt.Fprintf(stderr, "Please run '%s%s --help' for usage.\n", programName, subcommand)
+		return exitCodeUsage
 	}
-	return exitFailed
+	return exitCodeFailure
 }
 
-func setUsageError(command *cli.Command) {
+func setUsageErrorHandler(command *cli.Command) {
 	command.OnUsageError = onUsageError
-	for _, sub := range command.Commands {
-		setUsageError(sub)
+	for _, subcommand := range command.Commands {
+		setUsageErrorHandler(subcommand)
 	}
 }
 
@@ -89,17 +90,17 @@
 	return &usageError{cause: err}
 }
 
-func onUnknownVerb(_ context.Context, command *cli.Command) error {
+func onUnknownSubcommand(_ context.Context, command *cli.Command) error {
 	if name := command.Args().First(); name != "" {
 		return &usageError{cause: errors.Errorf("no verb %q", name)}
 	}
 	return cli.ShowRootCommandHelp(command)
 }
 
-func usagef(format string, args ...any) error {
+func usageErrorf(format string, args ...any) error {
 	return &usageError{cause: errors.Errorf(format, args...)}
 }
 
-func progress(format string, args ...any) {
+func printProgressf(format string, args ...any) {
 	_, _ = fmt.Fprintf(os.Stderr, format+"\n", args...)
 }
--- a/pkg/commander/verb_control.go
+++ b/pkg/commander/verb_control.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	promoteWait  = 60 * time.Second
-	promotePause = 300 * time.Millisecond
+	promoteTimeout       = 60 * time.Second
+	promoteRetryInterval = 300 * time.Millisecond
 )
 
-func verbControl() *cli.Command {
+func newControlCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "control",
 		Usage:       "show and change the control instances",
 		Description: "Example:\n  lovagedeck control status\n  lovagedeck control add control-3/8d1f0c2a\n  lovagedeck control remove control-3/first",
 		Commands: []*cli.Command{
 			{
-				Name: "status", Usage: "show the control instances", Flags: instanceFlags(),
+				Name: "status", Usage: "show the control instances", Flags: newInstanceFlags(),
 				Description: "Example:\n  lovagedeck control status", Action: runControlStatus,
 			},
 			{
-				Name: "add", Usage: "add a node as a non-voter and give it its vote once it holds everything committed", ArgsUsage: "NODE",
-				Flags: instanceFlags(), Description: "Example:\n  lovagedeck control add control-3/8d1f0c2a", Action: runControlAdd,
+				Name: "add", Usage: "add a node as a non-voter and promote it to voter once it holds all committed entries", ArgsUsage: "NODE",
+				Flags: newInstanceFlags(), Description: "Example:\n  lovagedeck control add control-3/8d1f0c2a", Action: runControlAdd,
 			},
 			{
-				Name: "remove", Usage: "remove a node", ArgsUsage: "NODE", Flags: instanceFlags(),
+				Name: "remove", Usage: "remove a node", ArgsUsage: "NODE", Flags: newInstanceFlags(),
 				Description: "Example:\n  lovagedeck control remove control-3/first", Action: runControlRemove,
 			},
 		},
@@ -41,7 +41,7 @@
 }
 
 func runControlStatus(_ context.Context, command *cli.Command) error {
-	client, format, err := operatorCall(command)
+	client, format, err := newClientAndFormat(command)
 	if err != nil {
 		return err
 	}
@@ -49,56 +49,56 @@
 	if err != nil {
 		return err
 	}
-	return printer.Print(command.Root().Writer, format, controlSheet(status), status.Control)
+	return printer.Print(command.Root().Writer, format, newControlSheet(status), status.Control)
 }
 
 func runControlAdd(_ context.Context, command *cli.Command) error {
-	client, node, err := controlTarget(command)
+	client, node, err := newClientAndNode(command)
 	if err != nil {
 		return err
 	}
-	if err := configure(client, controller.ActionAddLearner, node); err != nil {
+	if err := configureControl(client, controller.ActionAddLearner, node); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(command.Root().Writer, "%s follows as a non-voter\n", node)
-	for begun := time.Now(); time.Since(begun) < promoteWait; time.Sleep(promotePause) {
-		err = configure(client, controller.ActionPromote, node)
+	for startedAt := time.Now(); time.Since(startedAt) < promoteTimeout; time.Sleep(promoteRetryInterval) {
+		err = configureControl(client, controller.ActionPromote, node)
 		if err == nil {
 			_, err := fmt.Fprintf(command.Root().Writer, "%s votes\n", node)
 			return err
 		}
-		if time.Since(begun) > 2*time.Second {
-			progress("waiting: %v", err)
+		if time.Since(startedAt) > 2*time.Second {
+			printProgressf("waiting to promote the node: %v", err)
 		}
 	}
-	return errors.Wrapf(err, "%s stays a non-voter", node)
+	return errors.Wrapf(err, "%s was not promoted to voter", node)
 }
 
 func runControlRemove(_ context.Context, command *cli.Command) error {
-	client, node, err := controlTarget(command)
+	client, node, err := newClientAndNode(command)
 	if err != nil {
 		return err
 	}
-	if err := configure(client, controller.ActionRemove, node); err != nil {
+	if err := configureControl(client, controller.ActionRemove, node); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(command.Root().Writer, "%s is removed\n", node)
 	return err
 }
 
-func controlTarget(command *cli.Command) (*operator.Client, string, error) {
+func newClientAndNode(command *cli.Command) (*operator.Client, string, error) {
 	node := command.Args().First()
 	if node == "" || command.Args().Len() != 1 {
-		return nil, "", usagef("name one node as INSTANCE/DISK; `lovagedeck control status` and the file identity.json show it")
+		return nil, "", usageErrorf("exactly one node is required, as INSTANCE/DISK; `lovagedeck control status` and the file identity.json show it")
 	}
-	client, err := operatorClient(command)
+	client, err := newOperatorClient(command)
 	return client, node, err
 }
 
-func configure(client *operator.Client, action controller.ConfigAction, node string) error {
+func configureControl(client *operator.Client, action controller.ConfigAction, node string) error {
 	change, err := client.Configure(operator.ConfigureRequest{Action: action, Node: node})
 	if err != nil {
 		return err
 	}
-	return explainChange(change)
+	return checkChange(change)
 }
--- a/pkg/commander/verb_data_centre.go
+++ b/pkg/commander/verb_data_centre.go
@@ -9,21 +9,21 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-func verbDataCentre() *cli.Command {
+func newDataCentreCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "data-centre",
-		Usage:       "take a data centre out of service or back in",
+		Usage:       "take a data centre out of service or bring it back",
 		Description: "Example:\n  lovagedeck data-centre out ub-b\n  lovagedeck data-centre in ub-b",
 		Commands: []*cli.Command{
 			{
-				Name: "out", Usage: "give the data centre no new work", ArgsUsage: "NAME", Flags: changeFlags(),
+				Name: "out", Usage: "stop sending new requests to the data centre", ArgsUsage: "NAME", Flags: newChangeFlags(),
 				Description: "Example:\n  lovagedeck data-centre out ub-b",
-				Action:      func(_ context.Context, c *cli.Command) error { return runDataCentre(c, tabulator.StateOut) },
+				Action:      func(_ context.Context, command *cli.Command) error { return runDataCentre(command, tabulator.StateOut) },
 			},
 			{
-				Name: "in", Usage: "give the data centre work again", ArgsUsage: "NAME", Flags: changeFlags(),
+				Name: "in", Usage: "send requests to the data centre again", ArgsUsage: "NAME", Flags: newChangeFlags(),
 				Description: "Example:\n  lovagedeck data-centre in ub-b",
-				Action:      func(_ context.Context, c *cli.Command) error { return runDataCentre(c, tabulator.StateIn) },
+				Action:      func(_ context.Context, command *cli.Command) error { return runDataCentre(command, tabulator.StateIn) },
 			},
 		},
 	}
@@ -32,22 +32,22 @@
 func runDataCentre(command *cli.Command, state tabulator.State) error {
 	name := command.Args().First()
 	if name == "" || command.Args().Len() != 1 {
-		return usagef("name one data centre")
+		return usageErrorf("exactly one data centre is required")
 	}
-	client, table, err := operatorTable(command)
+	client, table, err := fetchTable(command)
 	if err != nil {
 		return err
 	}
-	base, known := baseOf(table, name)
-	if !known {
-		return usagef("no row or instance names data centre %q", name)
+	baseRevision, isKnown := findBaseRevision(table, name)
+	if !isKnown {
+		return usageErrorf("unknown data centre %q: no row or instance belongs to it", name)
 	}
-	return send(command, client, func(id, who string) (operator.ChangeResult, error) {
-		return client.SetDataCentre(tabulator.SetDataCentre{ChangeID: id, Operator: who, Name: name, State: state, Base: base})
+	return submitChange(command, client, func(changeID, operatorName string) (operator.ChangeResult, error) {
+		return client.SetDataCentre(tabulator.SetDataCentre{ChangeID: changeID, Operator: operatorName, Name: name, State: state, Base: baseRevision})
 	})
 }
 
-func baseOf(table operator.Table, name string) (uint64, bool) {
+func findBaseRevision(table operator.Table, name string) (uint64, bool) {
 	for _, centre := range table.DataCentres {
 		if centre.Name == name {
 			return centre.Revision, true
--- a/pkg/commander/verb_emulate.go
+++ b/pkg/commander/verb_emulate.go
@@ -14,16 +14,16 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-func verbEmulate() *cli.Command {
+func newEmulateCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "emulate",
-		Usage:       "run emulated leafs and the platform's list of them until interrupted",
+		Usage:       "run emulated leafs and a platform that lists them, until interrupted",
 		Description: "Example:\n  lovagedeck emulate --shape agency --platform 127.0.0.1:9000",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "shape", Value: "agency", Usage: "`SHAPE` of the leafs: agency or tobermory"},
-			&cli.StringFlag{Name: "platform", Value: "127.0.0.1:9000", Usage: "`ADDRESS` of the platform's list"},
-			&cli.DurationFlag{Name: "work", Value: 6 * time.Millisecond, Usage: "usual `TIME` of one request"},
-			&cli.StringFlag{Name: "rows", Usage: "write the table of the shape to this `FILE`"},
+			&cli.StringFlag{Name: "platform", Value: "127.0.0.1:9000", Usage: "listen `ADDRESS` of the leaf list"},
+			&cli.DurationFlag{Name: "work", Value: 6 * time.Millisecond, Usage: "typical service `TIME` of a request"},
+			&cli.StringFlag{Name: "rows", Usage: "write the table rows of the shape to this `FILE`"},
 		},
 		Action: runEmulate,
 	}
@@ -32,7 +32,7 @@
 func runEmulate(ctx context.Context, command *cli.Command) error {
 	shape, ok := emulator.ShapeNamed(command.String("shape"), command.Duration("work"))
 	if !ok {
-		return usagef("--shape %q is neither agency nor tobermory", command.String("shape"))
+		return usageErrorf("--shape %q is neither agency nor tobermory", command.String("shape"))
 	}
 	if path := command.String("rows"); path != "" {
 		if err := writeRows(path, shape); err != nil {
@@ -45,16 +45,16 @@
 	}
 	defer fleet.Close()
 	_, _ = fmt.Fprintf(command.Root().Writer, "%d leafs run; the platform's list is at %s\n", len(fleet.Leafs()), fleet.Platform())
-	interrupted, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	signalContext, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	<-interrupted.Done()
+	<-signalContext.Done()
 	return nil
 }
 
 func writeRows(path string, shape emulator.Shape) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return usagef("--rows: %v", err)
+		return usageErrorf("--rows: %v", err)
 	}
 	if err := tabulator.WriteCSV(file, shape.Rows()); err != nil {
 		_ = file.Close()
--- a/pkg/commander/verb_query.go
+++ b/pkg/commander/verb_query.go
@@ -13,7 +13,7 @@
 	"lovagedeck/pkg/printer"
 )
 
-func verbQuery() *cli.Command {
+func newQueryCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "query",
 		Usage:     "send a query and print its answer",
@@ -21,27 +21,27 @@
 		Description: "Example:\n  lovagedeck query --caller-address 127.0.0.1:8101 --service customs-desk-01 fig\n" +
 			"  lovagedeck query --service registry-admin --effect --with-ticket 'issue 17'",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "caller-address", Value: defaultCaller, Usage: "`ADDRESS` of any instance for callers"},
-			&cli.StringFlag{Name: "tls-authority", Usage: "`FILE` with the authority's certificate; turns TLS on"},
-			&cli.StringSliceFlag{Name: "service", Usage: "`SERVICE` to ask; may be given several times", Required: true},
-			&cli.FloatFlag{Name: "deadline-ms", Usage: "longest time in `MS`; the table may set a shorter one"},
-			&cli.FloatFlag{Name: "min-coverage", Usage: "least answered `SHARE` of the shards, 0 to 1"},
+			&cli.StringFlag{Name: "caller-address", Value: defaultCallerAddress, Usage: "caller `ADDRESS` of any instance"},
+			&cli.StringFlag{Name: "tls-authority", Usage: "`FILE` with the CA certificate; enables TLS"},
+			&cli.StringSliceFlag{Name: "service", Usage: "`SERVICE` to query; may be repeated", Required: true},
+			&cli.FloatFlag{Name: "deadline-ms", Usage: "deadline in `MS`; the table may set a shorter one"},
+			&cli.FloatFlag{Name: "min-coverage", Usage: "minimum `FRACTION` of the shards that must answer, 0 to 1"},
 			&cli.StringFlag{Name: "caller", Value: "command-line", Usage: "`NAME` of the caller"},
-			&cli.BoolFlag{Name: "effect", Usage: "the query has an effect and must run at most once"},
-			&cli.BoolFlag{Name: "with-ticket", Usage: "take a ticket first, so that a resend is safe"},
-			&cli.StringFlag{Name: "ticket", Usage: "send again under this `TICKET`"},
-			outputFlag(),
+			&cli.BoolFlag{Name: "effect", Usage: "the query is not idempotent and must run at most once"},
+			&cli.BoolFlag{Name: "with-ticket", Usage: "obtain a ticket first, so that the query can be resent safely"},
+			&cli.StringFlag{Name: "ticket", Usage: "resend the query with this `TICKET`"},
+			newOutputFlag(),
 		},
 		Action: runQuery,
 	}
 }
 
 func runQuery(_ context.Context, command *cli.Command) error {
-	format, err := outputFormat(command)
+	format, err := parseOutputFormat(command)
 	if err != nil {
 		return err
 	}
-	client, err := callerClient(command)
+	client, err := newCallerClient(command)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 		if query.Ticket, err = client.NewTicket(); err != nil {
 			return err
 		}
-		progress("ticket %s", query.Ticket)
+		printProgressf("ticket %s", query.Ticket)
 	}
 	answer, err := client.Query(query)
 	if err != nil {
@@ -70,11 +70,11 @@
 	if err := printAnswer(command, format, answer); err != nil {
 		return err
 	}
-	return judgeAnswer(answer)
+	return checkAnswer(answer)
 }
 
-func callerClient(command *cli.Command) (*caller.Client, error) {
-	config, err := clientTLS(command)
+func newCallerClient(command *cli.Command) (*caller.Client, error) {
+	config, err := newTLSConfig(command)
 	if err != nil {
 		return nil, err
 	}
@@ -103,12 +103,12 @@
 	return printer.Print(w, format, sheet, answer)
 }
 
-func judgeAnswer(answer caller.Answer) error {
+func checkAnswer(answer caller.Answer) error {
 	switch coordinator.Outcome(answer.Outcome) {
 	case coordinator.OutcomeComplete, coordinator.OutcomePartial:
 		return nil
 	case coordinator.OutcomeRefused:
-		return errors.Errorf("%s (%s): nothing ran, it can be sent again after %d ms", answer.Outcome, answer.Reason, answer.RetryAfterMs)
+		return errors.Errorf("%s (%s): the query was not run and can be resent after %d ms", answer.Outcome, answer.Reason, answer.RetryAfterMs)
 	}
 	return errors.Errorf("%s (%s): run `lovagedeck explain %s`", answer.Outcome, answer.Reason, answer.ID)
 }
--- a/pkg/commander/verb_table.go
+++ b/pkg/commander/verb_table.go
@@ -15,27 +15,27 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-func verbTable() *cli.Command {
+func newTableCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "table",
 		Usage:       "read and edit the table of weights and limits",
 		Description: "Example:\n  lovagedeck table get > t.csv\n  lovagedeck table put t.csv\n  lovagedeck table set customs-desk-01 ub-a slots=3\n  lovagedeck table history",
 		Commands: []*cli.Command{
 			{
-				Name: "get", Usage: "print the table as comma-separated values", Flags: instanceFlags(),
+				Name: "get", Usage: "print the table as comma-separated values", Flags: newInstanceFlags(),
 				Description: "Example:\n  lovagedeck table get > t.csv", Action: runTableGet,
 			},
 			{
-				Name: "put", Usage: "put the rows of a file that differ from the table", ArgsUsage: "FILE (- for standard input)",
-				Flags:       append(changeFlags(), &cli.BoolFlag{Name: "dry-run", Usage: "show the difference only"}),
+				Name: "put", Usage: "upload the rows of a file that differ from the table", ArgsUsage: "FILE (- for standard input)",
+				Flags:       append(newChangeFlags(), &cli.BoolFlag{Name: "dry-run", Usage: "only show the differences"}),
 				Description: "Example:\n  lovagedeck table put t.csv", Action: runTablePut,
 			},
 			{
-				Name: "set", Usage: "change cells of one row", ArgsUsage: "SERVICE DATA-CENTRE COLUMN=VALUE...", Flags: changeFlags(),
+				Name: "set", Usage: "change cells of one row", ArgsUsage: "SERVICE DATA-CENTRE COLUMN=VALUE...", Flags: newChangeFlags(),
 				Description: "Example:\n  lovagedeck table set customs-desk-01 ub-a slots=3 weight=50", Action: runTableSet,
 			},
 			{
-				Name: "history", Usage: "print the accepted and refused changes", Flags: instanceFlags(),
+				Name: "history", Usage: "print the accepted and refused changes", Flags: newInstanceFlags(),
 				Description: "Example:\n  lovagedeck table history", Action: runTableHistory,
 			},
 		},
@@ -43,7 +43,7 @@
 }
 
 func runTableGet(_ context.Context, command *cli.Command) error {
-	client, format, err := operatorCall(command)
+	client, format, err := newClientAndFormat(command)
 	if err != nil {
 		return err
 	}
@@ -59,17 +59,17 @@
 
 func runTablePut(_ context.Context, command *cli.Command) error {
 	if command.Args().Len() != 1 {
-		return usagef("name one file, or - for standard input")
+		return usageErrorf("exactly one file is required, or - for standard input")
 	}
 	rows, err := readRows(command.Args().First())
 	if err != nil {
 		return err
 	}
-	client, table, err := operatorTable(command)
+	client, table, err := fetchTable(command)
 	if err != nil {
 		return err
 	}
-	changed := showDifference(command.Root().Writer, table, rows)
+	changed := printDifferences(command.Root().Writer, table, rows)
 	if len(changed) == 0 {
 		_, err := fmt.Fprintln(command.Root().Writer, "no row differs from the table")
 		return err
@@ -81,8 +81,8 @@
 }
 
 func putRows(command *cli.Command, client *operator.Client, rows []tabulator.RowFields) error {
-	return send(command, client, func(id, who string) (operator.ChangeResult, error) {
-		return client.ChangeRows(tabulator.ChangeRows{ChangeID: id, Operator: who, Rows: rows})
+	return submitChange(command, client, func(changeID, operatorName string) (operator.ChangeResult, error) {
+		return client.ChangeRows(tabulator.ChangeRows{ChangeID: changeID, Operator: operatorName, Rows: rows})
 	})
 }
 
@@ -91,7 +91,7 @@
 	if path != "-" {
 		file, err := os.Open(path)
 		if err != nil {
-			return nil, usagef("%v", err)
+			return nil, usageErrorf("%v", err)
 		}
 		defer func() { _ = file.Close() }()
 		reader = file
@@ -107,57 +107,57 @@
 	for _, fault := range faults {
 		lines = append(lines, "  "+fault.Error())
 	}
-	return nil, errors.Errorf("%d bad cells in %s, nothing was changed:\n%s", len(faults), path, strings.Join(lines, "\n"))
+	return nil, errors.Errorf("%d invalid cells in %s, nothing was changed:\n%s", len(faults), path, strings.Join(lines, "\n"))
 }
 
-// showDifference prints each changed cell and returns the rows that differ.
-func showDifference(w io.Writer, table operator.Table, rows []tabulator.RowFields) []tabulator.RowFields {
-	present := map[tabulator.Key][]string{}
+// printDifferences prints the cells in which rows differ from the table and returns the rows that differ.
+func printDifferences(w io.Writer, table operator.Table, rows []tabulator.RowFields) []tabulator.RowFields {
+	currentCells := map[tabulator.Key][]string{}
 	for _, row := range table.Rows {
-		present[tabulator.Key{Service: row.Service, DataCentre: row.DataCentre}] = row.Cells()
+		currentCells[tabulator.Key{Service: row.Service, DataCentre: row.DataCentre}] = row.Cells()
 	}
 	var changed []tabulator.RowFields
 	for _, row := range rows {
 		key := tabulator.Key{Service: row.Service, DataCentre: row.DataCentre}
-		cells, old := row.Cells(), present[key]
-		difference := differingCells(cells, old)
-		if len(difference) == 0 {
+		cells, current := row.Cells(), currentCells[key]
+		differences := diffCells(cells, current)
+		if len(differences) == 0 {
 			continue
 		}
 		changed = append(changed, row)
-		_, _ = fmt.Fprintf(w, "%s (rests on revision %d): %s\n", key, row.Revision, strings.Join(difference, ", "))
+		_, _ = fmt.Fprintf(w, "%s (rests on revision %d): %s\n", key, row.Revision, strings.Join(differences, ", "))
 	}
 	return changed
 }
 
-func differingCells(cells, old []string) []string {
+func diffCells(cells, current []string) []string {
 	columns := tabulator.Columns()
-	if old == nil {
+	if current == nil {
 		return []string{"new row"}
 	}
-	var difference []string
+	var differences []string
 	for i, column := range columns[:len(columns)-1] {
-		if cells[i] != old[i] {
-			difference = append(difference, fmt.Sprintf("%s %s -> %s", column, old[i], cells[i]))
+		if cells[i] != current[i] {
+			differences = append(differences, fmt.Sprintf("%s %s -> %s", column, current[i], cells[i]))
 		}
 	}
-	return difference
+	return differences
 }
 
 func runTableSet(_ context.Context, command *cli.Command) error {
 	args := command.Args().Slice()
 	if len(args) < 3 {
-		return usagef("name a service, a data centre and at least one COLUMN=VALUE")
+		return usageErrorf("a service, a data centre and at least one COLUMN=VALUE are required")
 	}
-	client, table, err := operatorTable(command)
+	client, table, err := fetchTable(command)
 	if err != nil {
 		return err
 	}
-	row, err := editedRow(table, args)
+	row, err := editRow(table, args)
 	if err != nil {
 		return err
 	}
-	changed := showDifference(command.Root().Writer, table, []tabulator.RowFields{row})
+	changed := printDifferences(command.Root().Writer, table, []tabulator.RowFields{row})
 	if len(changed) == 0 {
 		_, err := fmt.Fprintln(command.Root().Writer, "the row is so already")
 		return err
@@ -165,15 +165,16 @@
 	return putRows(command, client, changed)
 }
 
-// editedRow returns the present row with the given cells replaced.
-func editedRow(table operator.Table, args []string) (tabulator.RowFields, error) {
+// editRow returns the row of the service args[0] in the data centre args[1] with the cells set as in the remaining
+// arguments, each COLUMN=VALUE.
+func editRow(table operator.Table, args []string) (tabulator.RowFields, error) {
 	for _, row := range table.Rows {
 		if row.Service != args[0] || row.DataCentre != args[1] {
 			continue
 		}
 		cells := row.Cells()
 		for _, assignment := range args[2:] {
-			if err := assign(cells, assignment); err != nil {
+			if err := setCell(cells, assignment); err != nil {
 				return row, err
 			}
 		}
@@ -182,10 +183,10 @@
 	return tabulator.RowFields{}, errors.Errorf("no row %s/%s; add it with `lovagedeck table put`", args[0], args[1])
 }
 
-func assign(cells []string, assignment string) error {
+func setCell(cells []string, assignment string) error {
 	column, value, ok := strings.Cut(assignment, "=")
 	if !ok {
-		return usagef("%q is not COLUMN=VALUE", assignment)
+		return usageErrorf("%q is not COLUMN=VALUE", assignment)
 	}
 	for i, name := range tabulator.Columns()[2:9] {
 		if name == column {
@@ -193,7 +194,7 @@
 			return nil
 		}
 	}
-	return usagef("no column %q; the columns are %s", column, strings.Join(tabulator.Columns()[2:9], ", "))
+	return usageErrorf("no column %q; the columns are %s", column, strings.Join(tabulator.Columns()[2:9], ", "))
 }
 
 func parseCells(cells []string) (tabulator.RowFields, error) {
@@ -209,7 +210,7 @@
 }
 
 func runTableHistory(_ context.Context, command *cli.Command) error {
-	client, format, err := operatorCall(command)
+	client, format, err := newClientAndFormat(command)
 	if err != nil {
 		return err
 	}
--- a/pkg/commander/verb_timeline.go
+++ b/pkg/commander/verb_timeline.go
@@ -10,12 +10,12 @@
 	"lovagedeck/pkg/timeliner"
 )
 
-func verbTimeline() *cli.Command {
+func newTimelineCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "timeline",
-		Usage:       "print the events of all instances in one order",
+		Usage:       "print the events of all instances in chronological order",
 		Description: "Example:\n  lovagedeck timeline --kind leaf-restarted --last 10m",
-		Flags: append(instanceFlags(),
+		Flags: append(newInstanceFlags(),
 			&cli.StringFlag{Name: "peer", Usage: "only events with this `PEER`"},
 			&cli.StringFlag{Name: "kind", Usage: "only events of this `KIND`"},
 			&cli.DurationFlag{Name: "last", Usage: "only events of the last `TIME`, such as 10m"}),
@@ -24,11 +24,11 @@
 }
 
 func runTimeline(_ context.Context, command *cli.Command) error {
-	client, format, err := operatorCall(command)
+	client, format, err := newClientAndFormat(command)
 	if err != nil {
 		return err
 	}
-	clients, err := allInstances(client)
+	clients, err := newMemberClients(client)
 	if err != nil {
 		return err
 	}
@@ -37,13 +37,13 @@
 		filter.Since = time.Now().Add(-last)
 	}
 	var events []timeliner.Event
-	for _, c := range clients {
-		part, err := c.Events(filter)
+	for _, memberClient := range clients {
+		reply, err := memberClient.Events(filter)
 		if err != nil {
-			progress("timeline: the events of %s are missing: %v", c.Address(), err)
+			printProgressf("timeline: the events of %s are not included: %v", memberClient.Address(), err)
 			continue
 		}
-		events = append(events, part.Events...)
+		events = append(events, reply.Events...)
 	}
 	timeliner.Sort(events)
 	sheet := printer.NewSheet("time", "instance", "kind", "peer", "text")
--- a/pkg/commander/verb_version.go
+++ b/pkg/commander/verb_version.go
@@ -7,7 +7,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-func verbVersion() *cli.Command {
+func newVersionCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "version",
 		Usage:       "print the version",
--- a/pkg/demonstrator/doc.go
+++ b/pkg/demonstrator/doc.go
@@ -1,2 +1,2 @@
-// Package demonstrator runs the whole tier in one process through the failures it is made for.
+// Package demonstrator runs a complete tier in one process under load, injects failures and checks every answer.
 package demonstrator
--- a/pkg/experimenter/bench.go
+++ b/pkg/experimenter/bench.go
@@ -36,12 +36,12 @@
 // policies are the present policy and those it is compared with.
 var policies = map[string][]runner.Option{
 	CurrentPolicy:       nil,
-	"static-split":      {runner.WithStaticSplit(benchInstances), runner.WithPolicy(chooser.Random{}), runner.WithoutHedges(), runner.WithoutGate()},
+	"static-split":      {runner.WithStaticSplit(benchInstances), runner.WithPolicy(chooser.Random{}), runner.WithoutHedges(), runner.WithoutLoadShedding()},
 	"least-outstanding": {runner.WithPolicy(chooser.LeastOutstanding{})},
 	"random-replica":    {runner.WithPolicy(chooser.Random{})},
 	"no-hedges":         {runner.WithoutHedges()},
-	"no-gate":           {runner.WithoutGate()},
-	"gradient":          {runner.WithGrowth(admitter.GradientGrowth{})},
+	"no-gate":           {runner.WithoutLoadShedding()},
+	"gradient":          {runner.WithLimitGrowth(admitter.GradientGrowth{})},
 }
 
 type (
--- a/pkg/experimenter/tier.go
+++ b/pkg/experimenter/tier.go
@@ -144,7 +144,7 @@
 		unready = ""
 		for i := range t.settings {
 			if instance := t.Instance(i); instance != nil && !instance.Ready() {
-				unready += " " + instance.ID().Instance + ": " + instance.Unready()
+				unready += " " + instance.ID().Instance + ": " + instance.UnreadyReason()
 			}
 		}
 		return unready == ""
@@ -158,7 +158,7 @@
 		owned := 0
 		for i := range t.settings {
 			if instance := t.Instance(i); instance != nil {
-				owned += instance.Opened()
+				owned += instance.OpenLeafCount()
 			}
 		}
 		return owned >= leafs
--- a/pkg/printer/doc.go
+++ b/pkg/printer/doc.go
@@ -1,2 +1,2 @@
-// Package printer prints data as text, JSON or comma-separated values.
+// Package printer prints data as aligned text, JSON or CSV.
 package printer
--- a/pkg/printer/printer.go
+++ b/pkg/printer/printer.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// FormatText is a table with aligned columns.
+	// FormatText is text in aligned columns with a header.
 	FormatText Format = "text"
-	// FormatJSON is JSON with indentation.
+	// FormatJSON is indented JSON.
 	FormatJSON Format = "json"
-	// FormatCSV is comma-separated values with a header.
+	// FormatCSV is comma-separated values (CSV) with a header.
 	FormatCSV Format = "csv"
 )
 
 type (
-	// Format is how data is printed.
+	// Format is an output format.
 	Format string
 
-	// Sheet is data in rows and columns.
+	// Sheet holds rows of text cells under named columns, for output as text or CSV.
 	Sheet struct {
 		columns []string
 		rows    [][]string
@@ -34,7 +34,7 @@
 // NewSheet returns an empty sheet with the given columns.
 func NewSheet(columns ...string) *Sheet { return &Sheet{columns: columns} }
 
-// ParseFormat returns the format with the given name.
+// ParseFormat returns the format with the given name, or an error if there is none.
 func ParseFormat(name string) (Format, error) {
 	switch format := Format(name); format {
 	case FormatText, FormatJSON, FormatCSV:
@@ -43,10 +43,10 @@
 	return "", errors.Errorf("--output %q is not one of text, json, csv", name)
 }
 
-// Add appends a row.
+// Add appends a row; its cells are in the order of the columns.
 func (s *Sheet) Add(cells ...string) { s.rows = append(s.rows, cells) }
 
-// Print writes the sheet as text or values, or value as JSON.
+// Print writes the sheet to w as text or CSV, or value as JSON.
 func Print(w io.Writer, format Format, sheet *Sheet, value any) error {
 	switch format {
 	case FormatJSON:
@@ -55,7 +55,7 @@
 		return errors.Wrap(encoder.Encode(value), "print JSON")
 	case FormatCSV:
 		writer := csv.NewWriter(w)
-		return errors.Wrap(writer.WriteAll(append([][]string{sheet.columns}, sheet.rows...)), "print values")
+		return errors.Wrap(writer.WriteAll(append([][]string{sheet.columns}, sheet.rows...)), "print CSV")
 	}
 	return sheet.printText(w)
 }
--- a/pkg/runner/certificates.go
+++ b/pkg/runner/certificates.go
@@ -12,34 +12,34 @@
 	"lovagedeck/pkg/configurer"
 )
 
-// certificates reads the key files again when they change.
-type certificates struct {
-	certificate string
-	key         string
-	authority   string
-	mu          sync.Mutex
-	readAt      time.Time
-	pair        *tls.Certificate
-	pool        *x509.CertPool
+// certificateFiles provides TLS configurations from the certificate files and reloads the files when they change.
+type certificateFiles struct {
+	certificatePath string
+	keyPath         string
+	authorityPath   string
+	mu              sync.Mutex
+	modifiedAt      time.Time
+	keyPair         *tls.Certificate
+	authorityPool   *x509.CertPool
 }
 
-func newCertificates(settings configurer.Settings) (*certificates, error) {
-	c := &certificates{
-		certificate: settings.ResolvePath(settings.TLS.Certificate), key: settings.ResolvePath(settings.TLS.Key),
-		authority: settings.ResolvePath(settings.TLS.Authority),
+func newCertificateFiles(settings configurer.Settings) (*certificateFiles, error) {
+	c := &certificateFiles{
+		certificatePath: settings.ResolvePath(settings.TLS.Certificate), keyPath: settings.ResolvePath(settings.TLS.Key),
+		authorityPath: settings.ResolvePath(settings.TLS.Authority),
 	}
-	if c.certificate == "" {
+	if c.certificatePath == "" {
 		return c, nil
 	}
 	_, _, err := c.current()
 	return c, err
 }
 
-func (c *certificates) mutual() bool { return c.certificate != "" && c.authority != "" }
+func (c *certificateFiles) isMutual() bool { return c.certificatePath != "" && c.authorityPath != "" }
 
-// server returns the configuration towards callers and operators, or nil where connections are plain.
-func (c *certificates) server() *tls.Config {
-	if c.certificate == "" {
+// serverConfig returns the TLS configuration for callers and operators, or nil if TLS is disabled.
+func (c *certificateFiles) serverConfig() *tls.Config {
+	if c.certificatePath == "" {
 		return nil
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -48,7 +48,7 @@
 	}}
 }
 
-func (c *certificates) serverMutual() *tls.Config {
+func (c *certificateFiles) mutualServerConfig() *tls.Config {
 	pair, pool, err := c.current()
 	if err != nil {
 		return &tls.Config{MinVersion: tls.VersionTLS12}
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c *certificates) clientMutual() *tls.Config {
+func (c *certificateFiles) mutualClientConfig() *tls.Config {
 	pair, pool, err := c.current()
 	if err != nil {
 		return &tls.Config{MinVersion: tls.VersionTLS12}
@@ -69,36 +69,37 @@
 	}
 }
 
-// instanceServerName is the name that the certificate of every instance carries.
+// instanceServerName is the server name in the certificate of every instance.
 const instanceServerName = "lovagedeck"
 
-// current returns the key pair and the authority, read again after a change of the files.
-func (c *certificates) current() (*tls.Certificate, *x509.CertPool, error) {
+// current returns the key pair and the CA pool, and reloads them if a file was modified.
+func (c *certificateFiles) current() (*tls.Certificate, *x509.CertPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	changed, err := newest(c.certificate, c.key, c.authority)
+	modifiedAt, err := latestModification(c.certificatePath, c.keyPath, c.authorityPath)
 	if err != nil {
-		return c.orLast(errors.Wrap(err, "tls: look at the key files"))
+		return c.lastLoadedOr(errors.Wrap(err, "tls: stat the certificate files"))
 	}
-	if c.pair != nil && !changed.After(c.readAt) {
-		return c.pair, c.pool, nil
+	if c.keyPair != nil && !modifiedAt.After(c.modifiedAt) {
+		return c.keyPair, c.authorityPool, nil
 	}
-	pair, err := tls.LoadX509KeyPair(c.certificate, c.key)
+	pair, err := tls.LoadX509KeyPair(c.certificatePath, c.keyPath)
 	if err != nil {
-		return c.orLast(errors.Wrap(err, "tls: read the key pair"))
+		return c.lastLoadedOr(errors.Wrap(err, "tls: load the key pair"))
 	}
-	pool, err := readAuthority(c.authority)
+	pool, err := readAuthority(c.authorityPath)
 	if err != nil {
-		return c.orLast(err)
+		return c.lastLoadedOr(err)
 	}
-	c.pair, c.pool, c.readAt = &pair, pool, changed
-	return c.pair, c.pool, nil
+	c.keyPair, c.authorityPool, c.modifiedAt = &pair, pool, modifiedAt
+	return c.keyPair, c.authorityPool, nil
 }
 
-// orLast keeps the last good files while new ones cannot be read.
-func (c *certificates) orLast(err error) (*tls.Certificate, *x509.CertPool, error) {
-	if c.pair != nil {
-		return c.pair, c.pool, nil
+// lastLoadedOr returns the last valid key pair and CA pool, or err if none was loaded. A failed reload thus does not
+// interrupt service.
+func (c *certificateFiles) lastLoadedOr(err error) (*tls.Certificate, *x509.CertPool, error) {
+	if c.keyPair != nil {
+		return c.keyPair, c.authorityPool, nil
 	}
 	return nil, nil, err
 }
@@ -109,16 +110,16 @@
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "tls: read the authority")
+		return nil, errors.Wrap(err, "tls: read the CA certificate")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, errors.Errorf("tls: %s holds no certificate", path)
+		return nil, errors.Errorf("tls: %s contains no certificate", path)
 	}
 	return pool, nil
 }
 
-func newest(paths ...string) (time.Time, error) {
+func latestModification(paths ...string) (time.Time, error) {
 	var latest time.Time
 	for _, path := range paths {
 		if path == "" {
--- a/pkg/runner/doc.go
+++ b/pkg/runner/doc.go
@@ -1,2 +1,2 @@
-// Package runner puts the parts of one instance together and runs them.
+// Package runner starts, runs and stops one instance of the query tier and connects its components.
 package runner
--- a/pkg/runner/handler.go
+++ b/pkg/runner/handler.go
@@ -12,35 +12,35 @@
 	"lovagedeck/pkg/tracer"
 )
 
-// OnRequests takes requests for leafs of this instance.
+// OnRequests handles requests to leafs that this instance owns; address is where the sender expects the replies.
 func (i *Instance) OnRequests(from tabulator.MemberID, address string, asks []fellow.Request) {
 	i.owner.OnRequests(from, address, asks)
 }
 
-// OnCancels takes cancellations.
+// OnCancels cancels requests that the sender sent earlier.
 func (i *Instance) OnCancels(from tabulator.MemberID, ids []uint64) { i.owner.OnCancels(from, ids) }
 
-// OnReplies takes replies to requests of this instance.
+// OnReplies handles replies to requests of this instance.
 func (i *Instance) OnReplies(from tabulator.MemberID, replies []fellow.Reply) {
 	i.dispatcher.OnReplies(from, replies)
 }
 
-// Holdings tells what the leafs of this instance hold.
+// Holdings returns the index versions and shards that the given leafs of this instance hold, by leaf.
 func (i *Instance) Holdings(leafs []string) map[string][]fellow.Holding {
 	return i.owner.Holdings(leafs)
 }
 
-// Release gives up leafs for another owner.
+// Release ends the ownership of leafs and returns the state that their new owner needs.
 func (i *Instance) Release(query fellow.ReleaseQuery) []fellow.ReleasedLeaf {
 	return i.owner.Release(query)
 }
 
-// RunTicket runs a request whose ticket this incarnation granted.
+// RunTicket runs a request whose ticket this incarnation granted, or returns its outcome if it ran before.
 func (i *Instance) RunTicket(ticket string, request []byte) ([]byte, error) {
-	return i.callers.RunTicket(ticket, request)
+	return i.callerServer.RunTicket(ticket, request)
 }
 
-// Status describes this instance and the control instances it reaches.
+// Status returns the status of this instance and of all control instances, marking those it cannot reach.
 func (i *Instance) Status() operator.Status {
 	view := i.View()
 	status := operator.Status{
@@ -54,47 +54,47 @@
 	for id, condition := range i.owner.Conditions() {
 		status.Conditions[string(id)] = condition
 	}
-	statuses := i.client.Statuses()
-	for _, address := range i.controlAddresses() {
+	statuses := i.controlClient.Statuses()
+	for _, address := range i.sortedControlAddresses() {
 		status.Control = append(status.Control, controlStatus(address, statuses))
 	}
 	return status
 }
 
-// Propose passes a change to the control instances.
+// Propose submits a change to the control instances and records the result in the timeline.
 func (i *Instance) Propose(command tabulator.Command) (controller.ProposeReply, error) {
-	reply, err := i.client.Propose(command)
+	reply, err := i.controlClient.Propose(command)
 	i.timeline.Add("change", i.self.Instance, string(reply.Result.Verdict)+" "+reply.Refused)
 	return reply, err
 }
 
 // Lookup returns the recorded outcome of a change.
 func (i *Instance) Lookup(changeID string) (controller.LookupReply, error) {
-	return i.client.Lookup(changeID)
+	return i.controlClient.Lookup(changeID)
 }
 
-// History returns the changes of operators.
-func (i *Instance) History() (controller.HistoryReply, error) { return i.client.History() }
+// History returns the changes that operators submitted.
+func (i *Instance) History() (controller.HistoryReply, error) { return i.controlClient.History() }
 
-// InForce tells how many instances act on a revision.
+// InForce returns how many instances use the given revision of the table or a later one.
 func (i *Instance) InForce(revision uint64) (controller.InForceReply, error) {
-	return i.client.InForce(revision)
+	return i.controlClient.InForce(revision)
 }
 
-// Configure changes the control members by one.
+// Configure adds, promotes or removes one member of the control cluster.
 func (i *Instance) Configure(action controller.ConfigAction, node replicator.NodeID) (controller.ConfigReply, error) {
-	return i.client.Configure(action, node)
+	return i.controlClient.Configure(action, node)
 }
 
-// Events returns the time line of this instance.
+// Events returns the events of this instance that match the filter.
 func (i *Instance) Events(filter timeliner.Filter) []timeliner.Event {
 	return i.timeline.Events(filter)
 }
 
-// Trace returns a kept query.
+// Trace returns the trace of a query and whether the instance keeps it.
 func (i *Instance) Trace(id string) (tracer.Trace, bool) { return i.traces.Find(id) }
 
-// Slowest returns the slowest kept queries.
+// Slowest returns the traces of the slowest queries, slowest first.
 func (i *Instance) Slowest() []tracer.Trace { return i.traces.Slowest() }
 
 func controlStatus(address string, statuses map[string]controller.StatusReply) operator.ControlStatus {
--- a/pkg/runner/instance.go
+++ b/pkg/runner/instance.go
@@ -32,94 +32,98 @@
 )
 
 const (
-	ticketTimeout   = 65 * time.Second
-	drainTimeout    = 20 * time.Second
-	drainPoll       = 20 * time.Millisecond
-	releaseGrace    = 4 * time.Second
-	shutdownTimeout = 5 * time.Second
+	// ticketTimeout exceeds the longest deadline of a query, which is 60 s.
+	ticketTimeout      = 65 * time.Second
+	drainTimeout       = 20 * time.Second
+	drainPollInterval  = 20 * time.Millisecond
+	releaseTimeout     = 4 * time.Second
+	serverCloseTimeout = 5 * time.Second
 )
 
 type (
-	// Option sets up an Instance.
+	// Option configures an Instance.
 	Option func(*options)
 
 	options struct {
-		log       logr.Logger
-		dial      linker.Dial
-		leafDial  leaf.Dial
-		policy    chooser.Policy
-		growth    admitter.Growth
-		noHedges  bool
-		noGate    bool
-		splitOver int
-		seed      uint64
+		log                    logr.Logger
+		dialPeer               linker.Dial
+		dialLeaf               leaf.Dial
+		policy                 chooser.Policy
+		limitGrowth            admitter.Growth
+		isHedgingDisabled      bool
+		isLoadSheddingDisabled bool
+		staticSplit            int
+		seed                   uint64
 	}
 
 	// Instance is one running instance of the tier.
 	Instance struct {
-		settings    configurer.Settings
-		options     options
-		self        tabulator.MemberID
-		epoch       time.Time
-		key         []byte
-		metrics     *metrics.Set
-		timeline    *timeliner.Timeline
-		traces      *tracer.Store
-		transport   *transport
-		mailbox     *mailbox
-		owner       *owner.Owner
-		dispatcher  *dispatcher.Dispatcher
-		client      *controller.Client
-		control     *controller.Server
-		journal     *journaler.Journaler
-		platform    *lister.Poller
-		fellows     *linker.Server
-		callers     *caller.Server
-		operators   *operator.Server
-		draining    atomic.Bool
-		platformBad atomic.Bool
+		settings          configurer.Settings
+		options           options
+		self              tabulator.MemberID
+		startedAt         time.Time
+		clusterKey        []byte
+		metrics           *metrics.Set
+		timeline          *timeliner.Timeline
+		traces            *tracer.Store
+		transport         *transport
+		mailbox           *mailbox
+		owner             *owner.Owner
+		dispatcher        *dispatcher.Dispatcher
+		controlClient     *controller.Client
+		controlServer     *controller.Server
+		journal           *journaler.Journaler
+		leafLister        *lister.Poller
+		peerServer        *linker.Server
+		callerServer      *caller.Server
+		operatorServer    *operator.Server
+		isDraining        atomic.Bool
+		isPlatformFailing atomic.Bool
 	}
 )
 
-// WithLog sets the log.
+// WithLog sets the logger.
 func WithLog(log logr.Logger) Option { return func(o *options) { o.log = log } }
 
-// WithDial sets how connections to other instances are opened.
-func WithDial(dial linker.Dial) Option { return func(o *options) { o.dial = dial } }
+// WithDial sets the function that opens connections to other instances.
+func WithDial(dial linker.Dial) Option { return func(o *options) { o.dialPeer = dial } }
 
-// WithLeafDial sets how connections to leafs are opened.
-func WithLeafDial(dial leaf.Dial) Option { return func(o *options) { o.leafDial = dial } }
+// WithLeafDial sets the function that opens connections to leafs.
+func WithLeafDial(dial leaf.Dial) Option { return func(o *options) { o.dialLeaf = dial } }
 
-// WithPolicy sets how replicas are chosen.
+// WithPolicy sets the policy that chooses among the replicas of a shard.
 func WithPolicy(policy chooser.Policy) Option { return func(o *options) { o.policy = policy } }
 
-// WithGrowth sets how the limit of a leaf opens.
-func WithGrowth(growth admitter.Growth) Option { return func(o *options) { o.growth = growth } }
+// WithLimitGrowth sets how the concurrency limit of a leaf grows while it warms up.
+func WithLimitGrowth(growth admitter.Growth) Option {
+	return func(o *options) { o.limitGrowth = growth }
+}
 
-// WithoutHedges turns hedges off.
-func WithoutHedges() Option { return func(o *options) { o.noHedges = true } }
+// WithoutHedges disables hedged requests.
+func WithoutHedges() Option { return func(o *options) { o.isHedgingDisabled = true } }
 
-// WithoutGate lets queries start whatever the overload thresholds are.
-func WithoutGate() Option { return func(o *options) { o.noGate = true } }
+// WithoutLoadShedding disables load shedding: queries start even if their priority is below the overload threshold.
+func WithoutLoadShedding() Option { return func(o *options) { o.isLoadSheddingDisabled = true } }
 
-// WithStaticSplit makes each of count instances use its share of every leaf instead of owning leafs.
-func WithStaticSplit(count int) Option { return func(o *options) { o.splitOver = count } }
+// WithStaticSplit divides the slots and connections of every leaf evenly among count instances, instead of assigning
+// each leaf to an owner.
+func WithStaticSplit(count int) Option { return func(o *options) { o.staticSplit = count } }
 
-// WithSeed sets the seed of all random choices.
+// WithSeed sets the seed of all random number generators of the instance.
 func WithSeed(seed uint64) Option { return func(o *options) { o.seed = seed } }
 
-// New starts an instance with the given settings; Close or Shutdown ends it.
+// New creates and starts an instance with the given settings; Shutdown or Close stops it.
 func New(settings configurer.Settings, opts ...Option) (*Instance, error) {
-	o := options{log: logr.Discard(), growth: admitter.AdditiveGrowth{}, policy: chooser.PowerOfTwoChoices{}, seed: uint64(time.Now().UnixNano())}
+	selected := options{log: logr.Discard(), limitGrowth: admitter.AdditiveGrowth{}, policy: chooser.PowerOfTwoChoices{}, seed: uint64(time.Now().UnixNano())}
 	for _, option := range opts {
-		option(&o)
+		option(&selected)
 	}
-	key, err := os.ReadFile(settings.ResolvePath(settings.KeyFile))
+	clusterKey, err := os.ReadFile(settings.ResolvePath(settings.KeyFile))
 	if err != nil {
 		return nil, errors.Wrap(err, "start: read key-file")
 	}
 	i := &Instance{
-		settings: settings, options: o, epoch: time.Now(), key: key, metrics: metrics.NewSet(), traces: tracer.NewStore(),
+		settings: settings, options: selected, startedAt: time.Now(), clusterKey: clusterKey, metrics: metrics.NewSet(), traces: tracer.NewStore(),
 		self: tabulator.MemberID{Instance: settings.Instance, Incarnation: uint64(time.Now().UnixNano())},
 	}
 	i.timeline = timeliner.New(settings.Instance, time.Now)
@@ -127,22 +131,22 @@
 		i.Close()
 		return nil, err
 	}
-	o.log.Info("runner: the instance has started", "instance", i.self.String())
+	selected.log.Info("runner: instance started", "instance", i.self.String())
 	return i, nil
 }
 
-// ID returns which run of which instance this is.
+// ID returns the name and the incarnation of the instance; each start creates a new incarnation.
 func (i *Instance) ID() tabulator.MemberID { return i.self }
 
-// Ready tells whether the instance takes queries.
-func (i *Instance) Ready() bool { return i.Unready() == "" }
+// Ready reports whether the instance accepts queries.
+func (i *Instance) Ready() bool { return i.UnreadyReason() == "" }
 
-// Unready returns why the instance takes no queries, or nothing when it does.
-func (i *Instance) Unready() string {
+// UnreadyReason returns the reason why the instance accepts no queries, or an empty string if it accepts them.
+func (i *Instance) UnreadyReason() string {
 	switch {
-	case i.draining.Load():
+	case i.isDraining.Load():
 		return dispatcher.ReasonShuttingDown
-	case !i.client.LeaseHeld(i.now()):
+	case !i.controlClient.LeaseHeld(i.now()):
 		return dispatcher.ReasonNoLease
 	case i.transport.IsCutOff():
 		return dispatcher.ReasonCutOff
@@ -150,50 +154,51 @@
 	return ""
 }
 
-// Owned returns how many leafs the instance owns.
-func (i *Instance) Owned() int { return i.owner.LeafCount() }
+// OwnedLeafCount returns the number of leafs that the instance owns.
+func (i *Instance) OwnedLeafCount() int { return i.owner.LeafCount() }
 
-// Opened returns how many leafs the instance may send to.
-func (i *Instance) Opened() int { return i.owner.OpenLeafCount() }
+// OpenLeafCount returns the number of owned leafs to which the instance may already send requests.
+func (i *Instance) OpenLeafCount() int { return i.owner.OpenLeafCount() }
 
-// View returns the table and membership in force at this instance.
-func (i *Instance) View() *tabulator.View { return i.client.View() }
+// View returns the table and the membership that this instance currently uses.
+func (i *Instance) View() *tabulator.View { return i.controlClient.View() }
 
-// Run runs a query at this instance.
+// Run runs a query on this instance and returns its result.
 func (i *Instance) Run(ctx context.Context, request dispatcher.Request) dispatcher.Result {
 	return i.dispatcher.Run(ctx, request)
 }
 
-// Shutdown hands over the leafs, finishes what is under way and ends the instance.
+// Shutdown drains the instance and stops it: it rejects new queries, waits for the queries that are running, hands the
+// leafs over to other instances and leaves the cluster. Each wait has a timeout.
 func (i *Instance) Shutdown() {
 	i.options.log.Info("runner: shutting down")
 	i.timeline.Add("draining", i.self.Instance, "no new queries")
-	i.draining.Store(true)
+	i.isDraining.Store(true)
 	i.dispatcher.Drain()
-	_, _ = i.client.Propose(tabulator.Drain{Instance: i.self.Instance, Incarnation: i.self.Incarnation})
+	_, _ = i.controlClient.Propose(tabulator.Drain{Instance: i.self.Instance, Incarnation: i.self.Incarnation})
 	i.waitUntil(drainTimeout, func() bool { return i.dispatcher.OpenQueries() == 0 })
-	i.waitUntil(releaseGrace, func() bool { return i.owner.LeafCount() == 0 })
+	i.waitUntil(releaseTimeout, func() bool { return i.owner.LeafCount() == 0 })
 	i.waitUntil(drainTimeout, func() bool { return i.owner.PendingCount() == 0 })
-	i.client.Leave()
+	i.controlClient.Leave()
 	i.Close()
 }
 
-// Close ends the instance at once.
+// Close stops the instance without draining it.
 func (i *Instance) Close() {
-	if i.callers != nil {
-		_ = i.callers.Close(shutdownTimeout)
+	if i.callerServer != nil {
+		_ = i.callerServer.Close(serverCloseTimeout)
 	}
-	if i.operators != nil {
-		_ = i.operators.Close(shutdownTimeout)
+	if i.operatorServer != nil {
+		_ = i.operatorServer.Close(serverCloseTimeout)
 	}
-	if i.platform != nil {
-		i.platform.Close()
+	if i.leafLister != nil {
+		i.leafLister.Close()
 	}
-	if i.client != nil {
-		i.client.Close()
+	if i.controlClient != nil {
+		i.controlClient.Close()
 	}
-	if i.control != nil {
-		i.control.Close()
+	if i.controlServer != nil {
+		i.controlServer.Close()
 	}
 	if i.owner != nil {
 		i.owner.Close()
@@ -204,57 +209,57 @@
 	if i.mailbox != nil {
 		i.mailbox.close()
 	}
-	if i.fellows != nil {
-		i.fellows.Close()
+	if i.peerServer != nil {
+		i.peerServer.Close()
 	}
 	if i.journal != nil {
 		_ = i.journal.Close()
 	}
 }
 
-func (i *Instance) now() time.Duration { return time.Since(i.epoch) }
+func (i *Instance) now() time.Duration { return time.Since(i.startedAt) }
 
-// random returns a source for one part of the instance. Instances with one seed differ by their names, or their
-// elections would time out together for ever.
-func (i *Instance) random(part uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(i.options.seed^xxhash.Sum64String(i.self.Instance), part))
+// newRandom returns the random number generator of one component. The seed includes the name of the instance: with the
+// same seed, the elections of all control instances would time out at the same moment every time.
+func (i *Instance) newRandom(stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(i.options.seed^xxhash.Sum64String(i.self.Instance), stream))
 }
 
 func (i *Instance) onView(view *tabulator.View) {
-	i.transport.retain(view)
+	i.transport.closeStaleLinks(view)
 	i.dispatcher.OnView(view)
 	i.owner.OnView(view)
 }
 
 func (i *Instance) onRoster(records []coordinator.LeafRecord) {
-	i.platformBad.Store(false)
+	i.isPlatformFailing.Store(false)
 	i.dispatcher.OnLeafList(records)
 	i.owner.OnLeafList(records)
 }
 
 func (i *Instance) onPlatformFault(err error) {
-	if i.platformBad.Swap(true) {
+	if i.isPlatformFailing.Swap(true) {
 		return
 	}
 	i.timeline.Add("platform-fault", "platform", err.Error())
-	i.options.log.Info("platform: the list could not be read", "error", err.Error())
+	i.options.log.Info("platform: failed to read the list of leafs", "error", err.Error())
 }
 
-func (i *Instance) passTicket(to tabulator.MemberID, ticket string, request []byte) ([]byte, error) {
+func (i *Instance) forwardTicket(to tabulator.MemberID, ticket string, request []byte) ([]byte, error) {
 	member, ok := i.View().Member(to.Instance)
 	if !ok || member.ID() != to {
 		return nil, errors.Errorf("the incarnation %s that granted the ticket is gone", to)
 	}
-	return i.transport.RunTicket(member, ticket, request)
+	return i.transport.ForwardTicket(member, ticket, request)
 }
 
-func (i *Instance) waitUntil(timeout time.Duration, done func() bool) {
-	for end := time.Now().Add(timeout); time.Now().Before(end) && !done(); {
-		time.Sleep(drainPoll)
+func (i *Instance) waitUntil(timeout time.Duration, isDone func() bool) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !isDone(); {
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// WriteMetrics writes the metrics of this instance in the Prometheus text format.
+// WriteMetrics writes the metrics of the instance and its process in the Prometheus text format.
 func (i *Instance) WriteMetrics(w io.Writer) {
 	i.metrics.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/pkg/runner/mailbox.go
+++ b/pkg/runner/mailbox.go
@@ -9,54 +9,57 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-// mailbox carries what an instance sends to itself.
+// mailbox queues the requests, cancellations and replies that an instance sends to itself and passes them to the handler
+// in one goroutine.
 type mailbox struct {
-	self    tabulator.MemberID
-	handler fellow.Handler
-	mu      sync.Mutex
-	wake    *sync.Cond
-	asks    []fellow.Request
-	cancels []uint64
-	replies []fellow.Reply
-	closed  bool
-	group   conc.WaitGroup
+	self      tabulator.MemberID
+	handler   fellow.Handler
+	mu        sync.Mutex
+	itemAdded *sync.Cond
+	asks      []fellow.Request
+	cancels   []uint64
+	replies   []fellow.Reply
+	isClosed  bool
+	worker    conc.WaitGroup
 }
 
 func newMailbox(self tabulator.MemberID, handler fellow.Handler) *mailbox {
 	m := &mailbox{self: self, handler: handler}
-	m.wake = sync.NewCond(&m.mu)
-	m.group.Go(m.run)
+	m.itemAdded = sync.NewCond(&m.mu)
+	m.worker.Go(m.run)
 	return m
 }
 
-func (m *mailbox) ask(ask fellow.Request) { m.add(func() { m.asks = append(m.asks, ask) }) }
+func (m *mailbox) ask(ask fellow.Request) { m.enqueue(func() { m.asks = append(m.asks, ask) }) }
 
-func (m *mailbox) cancel(id uint64) { m.add(func() { m.cancels = append(m.cancels, id) }) }
+func (m *mailbox) cancel(id uint64) { m.enqueue(func() { m.cancels = append(m.cancels, id) }) }
 
-func (m *mailbox) reply(reply fellow.Reply) { m.add(func() { m.replies = append(m.replies, reply) }) }
+func (m *mailbox) reply(reply fellow.Reply) {
+	m.enqueue(func() { m.replies = append(m.replies, reply) })
+}
 
 func (m *mailbox) close() {
-	m.add(func() { m.closed = true })
-	m.group.Wait()
+	m.enqueue(func() { m.isClosed = true })
+	m.worker.Wait()
 }
 
-func (m *mailbox) add(put func()) {
+func (m *mailbox) enqueue(appendItem func()) {
 	m.mu.Lock()
-	put()
+	appendItem()
 	m.mu.Unlock()
-	m.wake.Signal()
+	m.itemAdded.Signal()
 }
 
 func (m *mailbox) run() {
 	for {
 		m.mu.Lock()
-		for !m.closed && len(m.asks)+len(m.cancels)+len(m.replies) == 0 {
-			m.wake.Wait()
+		for !m.isClosed && len(m.asks)+len(m.cancels)+len(m.replies) == 0 {
+			m.itemAdded.Wait()
 		}
-		asks, cancels, replies, closed := m.asks, m.cancels, m.replies, m.closed
+		asks, cancels, replies, isClosed := m.asks, m.cancels, m.replies, m.isClosed
 		m.asks, m.cancels, m.replies = nil, nil, nil
 		m.mu.Unlock()
-		if closed {
+		if isClosed {
 			return
 		}
 		if len(replies) > 0 {
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -21,71 +21,75 @@
 	"lovagedeck/pkg/tabulator"
 )
 
+// start creates all components and starts the servers before the components that renew the lease and poll for leafs.
 func (i *Instance) start() error {
-	files, err := newCertificates(i.settings)
+	certificates, err := newCertificateFiles(i.settings)
 	if err != nil {
 		return err
 	}
-	link := i.newLinker(files)
-	i.startTraffic(link)
-	if err := i.startControl(link); err != nil {
+	peerLinker := i.newLinker(certificates)
+	i.createQueryPath(peerLinker)
+	if err := i.createControlServer(peerLinker); err != nil {
 		return err
 	}
-	if err := i.serveFellows(link); err != nil {
+	if err := i.servePeers(peerLinker); err != nil {
 		return err
 	}
-	if err := i.serveCallers(files.server()); err != nil {
+	if err := i.serveCallers(certificates.serverConfig()); err != nil {
 		return err
 	}
-	if err := i.serveOperators(files.server()); err != nil {
+	if err := i.serveOperators(certificates.serverConfig()); err != nil {
 		return err
 	}
-	if i.control != nil {
-		i.control.Run()
+	if i.controlServer != nil {
+		i.controlServer.Run()
 	}
 	i.owner.Run()
-	i.client.Run()
-	i.platform.Run()
+	i.controlClient.Run()
+	i.leafLister.Run()
 	return nil
 }
 
-func (i *Instance) newLinker(files *certificates) *linker.Linker {
+func (i *Instance) newLinker(certificates *certificateFiles) *linker.Linker {
 	options := []linker.Option{linker.WithRejectionHandler(func(peer string, err error) {
 		i.timeline.Add("connection-refused", peer, err.Error())
-		i.options.log.Info("linker: a connection was refused", "peer", peer, "error", err.Error())
+		i.options.log.Info("linker: rejected a connection", "peer", peer, "error", err.Error())
 	})}
-	if i.options.dial != nil {
-		options = append(options, linker.WithDial(i.options.dial))
+	if i.options.dialPeer != nil {
+		options = append(options, linker.WithDial(i.options.dialPeer))
 	}
-	if files.mutual() {
-		options = append(options, linker.WithTLS(files.clientMutual, files.serverMutual))
+	if certificates.isMutual() {
+		options = append(options, linker.WithTLS(certificates.mutualClientConfig, certificates.mutualServerConfig))
 	}
-	return linker.New(linker.NewSecret(i.settings.Cluster, i.key), options...)
+	return linker.New(linker.NewSecret(i.settings.Cluster, i.clusterKey), options...)
 }
 
-func (i *Instance) startTraffic(link *linker.Linker) {
-	i.transport = newTransport(link, i.self, i.settings.Listen.Peer)
-	i.client = controller.NewClient(controller.ClientConfig{
-		Member: i.member(), Addresses: i.controlAddresses(), Linker: link, Now: i.now, Random: i.random(1),
+// createQueryPath creates the components that run queries. They stay idle until their Run methods are called.
+func (i *Instance) createQueryPath(peerLinker *linker.Linker) {
+	i.transport = newTransport(peerLinker, i.self, i.settings.Listen.Peer)
+	i.controlClient = controller.NewClient(controller.ClientConfig{
+		Member: i.memberFields(), Addresses: i.sortedControlAddresses(), Linker: peerLinker, Now: i.now, Random: i.newRandom(1),
 		Timeline: i.timeline, OnView: i.onView,
 	})
 	i.dispatcher = dispatcher.New(dispatcher.Config{
-		Self: i.self, Now: i.now, WallClock: time.Now, LeaseHeld: i.client.LeaseHeld, Transport: i.transport,
-		Random: i.random(2), Policy: i.options.policy, NoHedges: i.options.noHedges, IgnoresOverload: i.options.noGate,
-		UsesLocalOwner: i.options.splitOver > 0,
+		Self: i.self, Now: i.now, WallClock: time.Now, LeaseHeld: i.controlClient.LeaseHeld, Transport: i.transport,
+		Random: i.newRandom(2), Policy: i.options.policy, NoHedges: i.options.isHedgingDisabled, IgnoresOverload: i.options.isLoadSheddingDisabled,
+		UsesLocalOwner: i.options.staticSplit > 0,
 	}, i.traces, i.metrics)
 	i.owner = owner.New(owner.Config{
-		Self: i.self, DataCentre: i.settings.DataCentre, Now: i.now, LeaseHeld: i.client.LeaseHeld,
-		SendReply: i.transport.Reply, RequestRelease: i.transport.AskRelease, RecordEvent: i.timeline.Add, Dial: i.options.leafDial,
-		Growth: i.options.growth, SplitInstances: i.options.splitOver,
+		Self: i.self, DataCentre: i.settings.DataCentre, Now: i.now, LeaseHeld: i.controlClient.LeaseHeld,
+		SendReply: i.transport.Reply, RequestRelease: i.transport.RequestRelease, RecordEvent: i.timeline.Add, Dial: i.options.dialLeaf,
+		Growth: i.options.limitGrowth, SplitInstances: i.options.staticSplit,
 	}, i.metrics)
-	i.transport.lost = i.dispatcher.OnUndelivered
+	i.transport.onLost = i.dispatcher.OnUndelivered
 	i.mailbox = newMailbox(i.self, i)
-	i.transport.local = i.mailbox
-	i.platform = lister.New(i.settings.PlatformURL, i.onRoster, i.onPlatformFault)
+	i.transport.mailbox = i.mailbox
+	i.leafLister = lister.New(i.settings.PlatformURL, i.onRoster, i.onPlatformFault)
 }
 
-func (i *Instance) startControl(link *linker.Linker) error {
+// createControlServer opens the data folder and creates the control server if the instance has the control role. An
+// instance with any disk but its first, such as a replacement, has no initial voters: it joins the existing cluster.
+func (i *Instance) createControlServer(peerLinker *linker.Linker) error {
 	if !i.settings.IsControl() {
 		return nil
 	}
@@ -94,32 +98,32 @@
 		return errors.Wrap(err, "start: open data-folder")
 	}
 	i.journal = journal
-	founders := make([]replicator.NodeID, 0, len(i.settings.Control))
+	initialVoters := make([]replicator.NodeID, 0, len(i.settings.Control))
 	addresses := map[string]string{}
 	for _, member := range i.settings.Control {
-		founders = append(founders, journaler.NodeID(member.Instance, journaler.BootstrapDisk))
+		initialVoters = append(initialVoters, journaler.NodeID(member.Instance, journaler.BootstrapDisk))
 		addresses[member.Instance] = member.PeerAddress
 	}
 	if journal.Identity().Disk != journaler.BootstrapDisk {
-		founders = nil
+		initialVoters = nil
 	}
-	i.control, err = controller.NewServer(controller.ServerConfig{
-		Instance: i.settings.Instance, Node: journal.Identity().Node(), InitialVoters: founders, Addresses: addresses,
-		Linker: link, Store: journal, Saved: saved, Now: i.now, Random: i.random(3), Timeline: i.timeline,
+	i.controlServer, err = controller.NewServer(controller.ServerConfig{
+		Instance: i.settings.Instance, Node: journal.Identity().Node(), InitialVoters: initialVoters, Addresses: addresses,
+		Linker: peerLinker, Store: journal, Saved: saved, Now: i.now, Random: i.newRandom(3), Timeline: i.timeline,
 	})
-	return errors.Wrap(err, "start: continue the log")
+	return errors.Wrap(err, "start: restore the replicated log")
 }
 
-func (i *Instance) serveFellows(link *linker.Linker) error {
+func (i *Instance) servePeers(peerLinker *linker.Linker) error {
 	listener, err := net.Listen("tcp", i.settings.Listen.Peer)
 	if err != nil {
 		return errors.Wrap(err, "start: listen/fellow")
 	}
 	receivers := map[string]any{"Fellow": fellow.NewService(i.self, i)}
-	if i.control != nil {
-		receivers["Control"] = controller.NewService(i.control)
+	if i.controlServer != nil {
+		receivers["Control"] = controller.NewService(i.controlServer)
 	}
-	i.fellows, err = link.Serve(listener, receivers)
+	i.peerServer, err = peerLinker.Serve(listener, receivers)
 	return err
 }
 
@@ -128,10 +132,10 @@
 	if err != nil {
 		return errors.Wrap(err, "start: listen/caller")
 	}
-	i.callers = caller.New(caller.Config{
-		Self: i.self, Run: i.dispatcher.Run, UnreadyReason: i.Unready, ForwardTicket: i.passTicket, Now: i.now, TLS: tlsConfig,
+	i.callerServer = caller.New(caller.Config{
+		Self: i.self, Run: i.dispatcher.Run, UnreadyReason: i.UnreadyReason, ForwardTicket: i.forwardTicket, Now: i.now, TLS: tlsConfig,
 	})
-	i.callers.Serve(listener)
+	i.callerServer.Serve(listener)
 	return nil
 }
 
@@ -140,22 +144,23 @@
 	if err != nil {
 		return errors.Wrap(err, "start: listen/operator")
 	}
-	i.operators = operator.New(operator.Config{
+	i.operatorServer = operator.New(operator.Config{
 		Backend: i, ReadTokenSHA256: i.settings.Tokens.ReadSHA256, WriteTokenSHA256: i.settings.Tokens.WriteSHA256, TLS: tlsConfig,
 	})
-	i.operators.Serve(listener)
+	i.operatorServer.Serve(listener)
 	return nil
 }
 
-func (i *Instance) member() tabulator.MemberFields {
+func (i *Instance) memberFields() tabulator.MemberFields {
 	return tabulator.MemberFields{
 		Instance: i.self.Instance, Incarnation: i.self.Incarnation, DataCentre: i.settings.DataCentre,
 		FellowAddress: i.settings.Listen.Peer, OperatorAddress: i.settings.Listen.Operator,
 	}
 }
 
-// controlAddresses lists this instance first where it has the control role.
-func (i *Instance) controlAddresses() []string {
+// sortedControlAddresses returns the peer addresses of all control instances, this one included if it is one, in
+// alphabetical order.
+func (i *Instance) sortedControlAddresses() []string {
 	addresses := make([]string, 0, len(i.settings.Control))
 	for _, member := range i.settings.Control {
 		addresses = append(addresses, member.PeerAddress)
--- a/pkg/runner/transport.go
+++ b/pkg/runner/transport.go
@@ -11,40 +11,40 @@
 	"lovagedeck/pkg/tabulator"
 )
 
-// fewestLinks is how many fellows must be known before their silence says something about this instance.
-const fewestLinks = 3
+// minLinksForCutOff is the number of links below which unresponsive peers are no evidence that this instance is cut off.
+const minLinksForCutOff = 3
 
-// transport carries asks, cancellations and replies between instances. What
-// is for this instance goes through a mailbox, so that neither side runs
-// inside the lock of the other.
+// transport carries requests, cancellations and replies between instances.
+// Messages to the instance itself go through a mailbox. A direct call would
+// run the dispatcher under the lock of the owner, or the reverse.
 type transport struct {
-	linker  *linker.Linker
-	self    tabulator.MemberID
-	address string
-	local   *mailbox
-	lost    fellow.UndeliveredFunc
-	mu      sync.Mutex
-	links   map[tabulator.MemberID]*fellow.Link
-	closed  bool
+	linker      *linker.Linker
+	self        tabulator.MemberID
+	selfAddress string
+	mailbox     *mailbox
+	onLost      fellow.UndeliveredFunc
+	mu          sync.Mutex
+	links       map[tabulator.MemberID]*fellow.Link
+	isClosed    bool
 }
 
-func newTransport(l *linker.Linker, self tabulator.MemberID, address string) *transport {
-	return &transport{linker: l, self: self, address: address, links: map[tabulator.MemberID]*fellow.Link{}}
+func newTransport(peerLinker *linker.Linker, self tabulator.MemberID, selfAddress string) *transport {
+	return &transport{linker: peerLinker, self: self, selfAddress: selfAddress, links: map[tabulator.MemberID]*fellow.Link{}}
 }
 
-// Ask sends a request to the owner of a leaf.
+// Ask queues a request to the owner of a leaf.
 func (t *transport) Ask(owner tabulator.Member, ask fellow.Request) {
 	if owner.ID() == t.self {
-		t.local.ask(ask)
+		t.mailbox.ask(ask)
 		return
 	}
-	t.toMember(owner).QueueRequest(ask)
+	t.linkToMember(owner).QueueRequest(ask)
 }
 
-// Cancel gives up a request.
+// Cancel queues the cancellation of a request.
 func (t *transport) Cancel(owner tabulator.MemberID, id uint64) {
 	if owner == t.self {
-		t.local.cancel(id)
+		t.mailbox.cancel(id)
 		return
 	}
 	t.mu.Lock()
@@ -55,16 +55,16 @@
 	}
 }
 
-// Reply sends a reply to the instance that asked.
+// Reply queues a reply to the instance that sent the request.
 func (t *transport) Reply(to tabulator.MemberID, address string, reply fellow.Reply) {
 	if to == t.self {
-		t.local.reply(reply)
+		t.mailbox.reply(reply)
 		return
 	}
-	t.link(to, address).QueueReply(reply)
+	t.linkTo(to, address).QueueReply(reply)
 }
 
-// IsUnresponsive tells whether an instance has not taken what was last sent to it.
+// IsUnresponsive reports whether an instance has not acknowledged the last batch that was sent to it.
 func (t *transport) IsUnresponsive(owner tabulator.MemberID) bool {
 	t.mu.Lock()
 	link := t.links[owner]
@@ -72,7 +72,8 @@
 	return link != nil && link.IsUnresponsive()
 }
 
-// IsCutOff tells whether most of the fellows that this instance talks to are silent.
+// IsCutOff reports whether more than half of the linked peers are unresponsive, so that the fault is probably in the
+// connection of this instance.
 func (t *transport) IsCutOff() bool {
 	t.mu.Lock()
 	links := make([]*fellow.Link, 0, len(t.links))
@@ -86,58 +87,58 @@
 			silent++
 		}
 	}
-	return len(links) >= fewestLinks && 2*silent > len(links)
+	return len(links) >= minLinksForCutOff && 2*silent > len(links)
 }
 
-// FetchHoldings asks an owner what its leafs hold.
+// FetchHoldings returns the index versions and shards that the given leafs of an owner hold, by leaf.
 func (t *transport) FetchHoldings(owner tabulator.Member, leafs []string) (map[string][]fellow.Holding, error) {
 	if owner.ID() == t.self {
-		return t.local.handler.Holdings(leafs), nil
+		return t.mailbox.handler.Holdings(leafs), nil
 	}
 	var reply fellow.HoldingsReply
-	err := t.toMember(owner).Call("Holdings", fellow.HoldingsQuery{Leafs: leafs}, &reply)
+	err := t.linkToMember(owner).Call("Holdings", fellow.HoldingsQuery{Leafs: leafs}, &reply)
 	return reply.Holdings, err
 }
 
-// AskRelease asks a former owner to give up a leaf.
-func (t *transport) AskRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.ReleasedLeaf, bool) {
+// RequestRelease requests a leaf from its former owner; it returns false if the owner did not answer.
+func (t *transport) RequestRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.ReleasedLeaf, bool) {
 	query := fellow.ReleaseQuery{From: t.self, To: from.ID(), Epoch: epoch, Leafs: []string{string(id)}}
 	var reply fellow.ReleaseReply
-	if err := t.toMember(from).Call("Release", query, &reply); err != nil || len(reply.Leafs) == 0 {
+	if err := t.linkToMember(from).Call("Release", query, &reply); err != nil || len(reply.Leafs) == 0 {
 		return fellow.ReleasedLeaf{}, false
 	}
 	return reply.Leafs[0], true
 }
 
-// RunTicket passes a request to the instance that granted its ticket.
-func (t *transport) RunTicket(to tabulator.Member, ticket string, request []byte) ([]byte, error) {
+// ForwardTicket forwards a request to the instance that granted its ticket and returns the answer.
+func (t *transport) ForwardTicket(to tabulator.Member, ticket string, request []byte) ([]byte, error) {
 	var reply fellow.TicketReply
 	query := fellow.TicketQuery{To: to.ID(), Ticket: ticket, Request: request}
-	if err := t.toMember(to).CallWithTimeout(ticketTimeout, "RunTicket", query, &reply); err != nil {
+	if err := t.linkToMember(to).CallWithTimeout(ticketTimeout, "RunTicket", query, &reply); err != nil {
 		return nil, errors.Wrap(err, "pass the ticket on")
 	}
 	return reply.Answer, nil
 }
 
-// retain closes the links to incarnations that are no longer members.
-func (t *transport) retain(view *tabulator.View) {
+// closeStaleLinks closes the links to incarnations that are no longer members of the cluster.
+func (t *transport) closeStaleLinks(view *tabulator.View) {
 	t.mu.Lock()
-	var gone []*fellow.Link
+	var stale []*fellow.Link
 	for id, link := range t.links {
 		if member, ok := view.Member(id.Instance); !ok || member.ID() != id {
-			gone = append(gone, link)
+			stale = append(stale, link)
 			delete(t.links, id)
 		}
 	}
 	t.mu.Unlock()
-	for _, link := range gone {
+	for _, link := range stale {
 		go link.Close()
 	}
 }
 
 func (t *transport) close() {
 	t.mu.Lock()
-	t.closed = true
+	t.isClosed = true
 	links := t.links
 	t.links = map[tabulator.MemberID]*fellow.Link{}
 	t.mu.Unlock()
@@ -146,18 +147,18 @@
 	}
 }
 
-func (t *transport) toMember(member tabulator.Member) *fellow.Link {
-	return t.link(member.ID(), member.FellowAddress())
+func (t *transport) linkToMember(member tabulator.Member) *fellow.Link {
+	return t.linkTo(member.ID(), member.FellowAddress())
 }
 
-func (t *transport) link(to tabulator.MemberID, address string) *fellow.Link {
+func (t *transport) linkTo(to tabulator.MemberID, address string) *fellow.Link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if link := t.links[to]; link != nil {
 		return link
 	}
-	link := fellow.NewReplyLink(t.linker, t.self, t.address, to, address, t.lost)
-	if t.closed {
+	link := fellow.NewReplyLink(t.linker, t.self, t.selfAddress, to, address, t.onLost)
+	if t.isClosed {
 		go link.Close()
 		return link
 	}
--- a/pkg/supervisor/doc.go
+++ b/pkg/supervisor/doc.go
@@ -1,2 +1,2 @@
-// Package supervisor is the command line of lovagedeckd, the daemon of every instance.
+// Package supervisor implements the command line of lovagedeckd, the daemon that runs one instance.
 package supervisor
--- a/pkg/supervisor/main.go
+++ b/pkg/supervisor/main.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	programName = "lovagedeckd"
-	exitFailed  = 1
-	exitUsage   = 2
+	programName     = "lovagedeckd"
+	exitCodeFailure = 1
+	exitCodeUsage   = 2
 )
 
 type usageError struct {
@@ -32,7 +32,8 @@
 
 func (e *usageError) Error() string { return e.cause.Error() }
 
-// Main runs the command line and returns its exit code; platform is where the verbs entry and control run.
+// Main runs the command line and returns the exit code: 0 on success, 1 on a failure, 2 on a usage error. The
+// subcommands entry and control read their settings and the list of leafs through platform.
 func Main(args []string, stdout, stderr io.Writer, platform steward.Platform) int {
 	root := &cli.Command{
 		Name:           programName,
@@ -41,7 +42,7 @@
 		ErrWriter:      stderr,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   onUsageError,
-		Commands:       []*cli.Command{verbRun(), verbCheck(), verbFormat(), verbEntry(platform), verbControl(platform)},
+		Commands:       []*cli.Command{newRunCommand(), newCheckCommand(), newFormatCommand(), newEntryCommand(platform), newControlCommand(platform)},
 		Action: func(_ context.Context, command *cli.Command) error {
 			if name := command.Args().First(); name != "" {
 				return &usageError{cause: errors.Errorf("no verb %q", name)}
@@ -57,36 +58,36 @@
 	var usage *usageError
 	if errors.As(err, &usage) {
 		_, _ = fmt.Fprintf(stderr, "Please run '%s --help' for usage.\n", programName)
-		return exitUsage
+		return exitCodeUsage
 	}
-	return exitFailed
+	return exitCodeFailure
 }
 
 func onUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return &usageError{cause: err}
 }
 
-func settingsFlag() cli.Flag {
+func newSettingsFlag() cli.Flag {
 	return &cli.StringFlag{Name: "settings", Usage: "`FILE` with the settings", Required: true}
 }
 
-func verbRun() *cli.Command {
+func newRunCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "run",
-		Usage:        "run the instance until SIGTERM, then finish what is under way",
+		Usage:        "run the instance until SIGTERM, then drain it and exit",
 		Description:  "Example:\n  lovagedeckd run --settings examples/control-1.jsonc",
-		Flags:        []cli.Flag{settingsFlag()},
+		Flags:        []cli.Flag{newSettingsFlag()},
 		OnUsageError: onUsageError,
-		Action:       run,
+		Action:       runInstance,
 	}
 }
 
-func verbCheck() *cli.Command {
+func newCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "check",
-		Usage:        "check a settings file and name file, line and key of each fault",
+		Usage:        "check a settings file and report the file, line and key of each error",
 		Description:  "Example:\n  lovagedeckd check --settings examples/control-1.jsonc",
-		Flags:        []cli.Flag{settingsFlag()},
+		Flags:        []cli.Flag{newSettingsFlag()},
 		OnUsageError: onUsageError,
 		Action: func(_ context.Context, command *cli.Command) error {
 			settings, err := configurer.Read(command.String("settings"))
@@ -99,28 +100,28 @@
 	}
 }
 
-func verbFormat() *cli.Command {
+func newFormatCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "format",
-		Usage: "make the data folder of a control instance",
+		Usage: "create the data folder of a control instance",
 		Description: "Example:\n  lovagedeckd format --settings examples/control-1.jsonc --first\n\n" +
-			"Give --first only when the cluster is founded. A replaced disk is formatted without it and\nadded with `lovagedeck control add`.",
-		Flags:        []cli.Flag{settingsFlag(), &cli.BoolFlag{Name: "first", Usage: "the instance founds the cluster"}},
+			"Use --first only when the cluster is created. Format a replacement disk without it and\nadd it with `lovagedeck control add`.",
+		Flags:        []cli.Flag{newSettingsFlag(), &cli.BoolFlag{Name: "first", Usage: "the instance is one of the first control instances of a new cluster"}},
 		OnUsageError: onUsageError,
-		Action:       format,
+		Action:       formatDataFolder,
 	}
 }
 
-func format(_ context.Context, command *cli.Command) error {
+func formatDataFolder(_ context.Context, command *cli.Command) error {
 	settings, err := configurer.Read(command.String("settings"))
 	if err != nil {
 		return err
 	}
 	if !settings.IsControl() {
-		return &usageError{cause: errors.New("the settings name no data-folder")}
+		return &usageError{cause: errors.New("the settings have no data-folder, so the instance is not a control instance")}
 	}
 	if command.Bool("first") {
-		if err := runner.CheckFounding(settings); err != nil {
+		if err := runner.CheckNewCluster(settings); err != nil {
 			return err
 		}
 	}
@@ -132,12 +133,12 @@
 	return err
 }
 
-func run(ctx context.Context, command *cli.Command) error {
+func runInstance(ctx context.Context, command *cli.Command) error {
 	settings, err := configurer.Read(command.String("settings"))
 	if err != nil {
 		return err
 	}
-	log, err := newLog(settings.Log)
+	log, err := newLogger(settings.Log)
 	if err != nil {
 		return err
 	}
@@ -145,15 +146,15 @@
 	if err != nil {
 		return err
 	}
-	interrupted, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	signalContext, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	<-interrupted.Done()
+	<-signalContext.Done()
 	instance.Shutdown()
-	log.Info("runner: the instance has ended")
+	log.Info("runner: instance stopped")
 	return nil
 }
 
-func newLog(settings configurer.Log) (logr.Logger, error) {
+func newLogger(settings configurer.Log) (logr.Logger, error) {
 	config := zap.NewProductionConfig()
 	if settings.Format != "json" {
 		config = zap.NewDevelopmentConfig()
@@ -165,7 +166,7 @@
 	config.DisableStacktrace = true
 	logger, err := config.Build()
 	if err != nil {
-		return logr.Discard(), errors.Wrap(err, "start the log")
+		return logr.Discard(), errors.Wrap(err, "create the logger")
 	}
 	return zapr.NewLogger(logger), nil
 }
--- a/pkg/supervisor/verb_deployed.go
+++ b/pkg/supervisor/verb_deployed.go
@@ -13,41 +13,41 @@
 	"lovagedeck/pkg/steward"
 )
 
-// runPart runs one part of a deployment until the context ends.
-type runPart func(ctx context.Context, platform steward.Platform, log logr.Logger) error
+// runFunc runs an entry instance or a control instance until the context is cancelled.
+type runFunc func(ctx context.Context, platform steward.Platform, log logr.Logger) error
 
-func verbEntry(platform steward.Platform) *cli.Command {
+func newEntryCommand(platform steward.Platform) *cli.Command {
 	return &cli.Command{
 		Name:         "entry",
-		Usage:        "run an entry instance of a deployment, by the settings file of the platform",
-		Description:  "The environment variable of the platform names the settings file.\n\nExample:\n  lovagedeckd entry",
+		Usage:        "run an entry instance of a deployment with the settings file of the platform",
+		Description:  "The environment variable of the platform gives the path of the settings file.\n\nExample:\n  lovagedeckd entry",
 		OnUsageError: onUsageError,
-		Action:       deployed(platform, steward.RunEntry),
+		Action:       newRunAction(platform, steward.RunEntry),
 	}
 }
 
-func verbControl(platform steward.Platform) *cli.Command {
+func newControlCommand(platform steward.Platform) *cli.Command {
 	return &cli.Command{
 		Name:         "control",
-		Usage:        "run a control instance of a deployment, by the settings file of the platform",
-		Description:  "The environment variable of the platform names the settings file.\n\nExample:\n  lovagedeckd control",
+		Usage:        "run a control instance of a deployment with the settings file of the platform",
+		Description:  "The environment variable of the platform gives the path of the settings file.\n\nExample:\n  lovagedeckd control",
 		OnUsageError: onUsageError,
-		Action:       deployed(platform, steward.RunControl),
+		Action:       newRunAction(platform, steward.RunControl),
 	}
 }
 
-// deployed runs a part until SIGTERM and writes its log to standard output.
-func deployed(platform steward.Platform, run runPart) cli.ActionFunc {
+// newRunAction returns an action that runs an instance until SIGTERM or an interrupt and writes its log to standard output.
+func newRunAction(platform steward.Platform, run runFunc) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
-		lines := recorder.New(command.Root().Writer)
-		log := lines.Logger(command.Name, "info")
-		interrupted, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+		logRecorder := recorder.New(command.Root().Writer)
+		log := logRecorder.Logger(command.Name, "info")
+		signalContext, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		err := run(interrupted, platform, log)
+		err := run(signalContext, platform, log)
 		if err != nil {
-			log.Error(err, "supervisor: the instance ends")
+			log.Error(err, "supervisor: instance failed")
 		}
-		_ = lines.Sync()
+		_ = logRecorder.Sync()
 		return err
 	}
 }
