--- a/pkg/commander/verb_bench.go
+++ b/pkg/commander/verb_bench.go
@@ -143,9 +143,9 @@
 		"complete", "coverage", "work", "violations")
 	for _, run := range runs {
 		for _, p := range run.Phases {
-			sheet.Add(p.Experiment, p.Phase, p.Policy, p.Shape, fmt.Sprintf("%.2f", p.Load), fmt.Sprintf("%.0f", p.Offered),
+			sheet.Add(p.Experiment, p.Phase, p.Policy, p.Shape, fmt.Sprintf("%.2f", p.LoadShare), fmt.Sprintf("%.0f", p.OfferedRate),
 				fmt.Sprintf("%.0f", p.Goodput), formatMs(p.P50), formatMs(p.P90), formatMs(p.P99), formatMs(p.P999),
-				fmt.Sprintf("%.4f", p.Complete()), fmt.Sprintf("%.4f", p.Coverage), fmt.Sprintf("%.3f", p.Work), formatViolations(run))
+				fmt.Sprintf("%.4f", p.CompleteRatio()), fmt.Sprintf("%.4f", p.Coverage), fmt.Sprintf("%.3f", p.WorkRatio), formatViolations(run))
 		}
 	}
 	return sheet
--- a/pkg/commander/verb_emulate.go
+++ b/pkg/commander/verb_emulate.go
@@ -30,7 +30,7 @@
 }
 
 func runEmulate(ctx context.Context, command *cli.Command) error {
-	shape, ok := emulator.ShapeNamed(command.String("shape"), command.Duration("work"))
+	shape, ok := emulator.ShapeByName(command.String("shape"), command.Duration("work"))
 	if !ok {
 		return usageErrorf("--shape %q is neither agency nor tobermory", command.String("shape"))
 	}
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer fleet.Close()
-	_, _ = fmt.Fprintf(command.Root().Writer, "%d leafs run; the platform's list is at %s\n", len(fleet.Leafs()), fleet.Platform())
+	_, _ = fmt.Fprintf(command.Root().Writer, "%d leafs run; the platform's list is at %s\n", len(fleet.Leafs()), fleet.PlatformURL())
 	signalContext, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-signalContext.Done()
--- a/pkg/demonstrator/demo.go
+++ b/pkg/demonstrator/demo.go
@@ -84,7 +84,7 @@
 	}
 	defer d.fleet.Close()
 	d.tier, err = experimenter.NewTier(experimenter.TierSpec{
-		Instances: instanceCount, Control: controlCount, Delay: oneWayDelay, Platform: d.fleet.Platform(),
+		Instances: instanceCount, ControlInstances: controlCount, OneWayDelay: oneWayDelay, PlatformURL: d.fleet.PlatformURL(),
 		DataCentres: append(append([]string(nil), agency.DataCentres...), tobermory.DataCentres...),
 	})
 	if err != nil {
@@ -112,7 +112,7 @@
 	leafs := 0
 	for _, shape := range shapes {
 		rows = append(rows, shape.Rows()...)
-		leafs += len(shape.Leafs())
+		leafs += len(shape.LeafSpecs())
 	}
 	d.reportStep("%d instances, %d of them with a data folder; %d leafs of %d services", instanceCount, controlCount, leafs, len(rows)/3)
 	revision, err := d.tier.PutRows(rows)
@@ -127,12 +127,12 @@
 }
 
 func (d *demonstration) runUnderLoad(agency, tobermory emulator.Shape) error {
-	judge := experimenter.NewJudge(d.fleet)
-	load := experimenter.NewLoad(queriesPerSecond, []experimenter.Template{
-		{Caller: "customs-officer", Services: agency.Query(71), Share: 0.4},
-		{Caller: "council-officer", Services: tobermory.Query(70), Share: 0.4},
+	judge := experimenter.NewChecker(d.fleet)
+	load := experimenter.NewLoadGenerator(queriesPerSecond, []experimenter.QueryTemplate{
+		{Caller: "customs-officer", Services: agency.ServicesForShards(71), Share: 0.4},
+		{Caller: "council-officer", Services: tobermory.ServicesForShards(70), Share: 0.4},
 		{Caller: "inspector", Services: []string{"inspector-field"}, Share: 0.1},
-		{Caller: "certificates", Services: []string{"registry-admin"}, Share: 0.05, Effect: true},
+		{Caller: "certificates", Services: []string{"registry-admin"}, Share: 0.05, HasSideEffect: true},
 		{Caller: "night-check", Services: []string{"cert-audit"}, Share: 0.05},
 	}, experimenter.OverHTTP(d.tier, d.config.Seed), judge, d.config.Seed)
 	before := d.fleet.Counts()
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	d.fleet.TakeOut(name, state == tabulator.StateOut)
+	d.fleet.SetOutOfService(name, state == tabulator.StateOut)
 	return d.waitInForce(fmt.Sprintf("data-centre %s %s", state, name), revision)
 }
 
@@ -216,7 +216,7 @@
 	return nil
 }
 
-func (d *demonstration) collectResult(tally *experimenter.Tally, judge *experimenter.Judge, before emulator.Counts) {
+func (d *demonstration) collectResult(tally *experimenter.LoadStats, judge *experimenter.Checker, before emulator.Counts) {
 	after := d.fleet.Counts()
 	r := &d.result
 	r.Queries = tally.Offered()
@@ -227,7 +227,7 @@
 	}
 	r.P50, r.P99, r.P999 = tally.Percentile(50), tally.Percentile(99), tally.Percentile(99.9)
 	r.Coverage = tally.Coverage()
-	r.WorkRatio = float64(after.Received-before.Received) / float64(max(1, tally.Needed()))
+	r.WorkRatio = float64(after.Received-before.Received) / float64(max(1, tally.ShardsNeeded()))
 	r.Violations, r.Examples = judge.Finish()
 	r.SlowestID, _ = tally.Slowest()
 	if trace, ok := d.tier.FindTrace(r.SlowestID); ok {
--- a/pkg/emulator/doc.go
+++ b/pkg/emulator/doc.go
@@ -1,2 +1,2 @@
-// Package emulator stands in for leafs, the platform and the network, and counts every breach of their limits.
+// Package emulator emulates leafs, the platform's leaf list and the network between instances, and counts every violation of the leafs' limits.
 package emulator
--- a/pkg/emulator/leaf.go
+++ b/pkg/emulator/leaf.go
@@ -1,5 +1,6 @@
-// An emulated leaf enforces what a real one would suffer from: slots,
-// connections, cold starts and versions. Each breach is counted.
+// An emulated leaf enforces the limits of a real one: slots, connections,
+// reduced concurrency after a cold start, and the index versions it holds.
+// Requests and connections beyond a limit are counted as violations.
 
 package emulator
 
@@ -18,98 +19,99 @@
 )
 
 const (
-	coldCapacity      = 2
-	coldAnswers       = 40
-	coldFactor        = 4
-	fallRecovery      = 400 * time.Millisecond
-	evidenceTolerance = 15 * time.Millisecond
-	spawnRate         = 8
+	coldConcurrency  = 2
+	warmupRequests   = 40
+	coldSlowdown     = 4
+	overloadRecovery = 400 * time.Millisecond
+	// coldDetectionGrace is the time that callers get to react after the first slow answer of a cold leaf.
+	coldDetectionGrace = 15 * time.Millisecond
+	spawnRate          = 8
 )
 
 type (
-	// LeafSpec describes an emulated leaf.
+	// LeafSpec describes an emulated leaf: its place in the index, its limits and its timing.
 	LeafSpec struct {
-		ID          string
-		Index       string
-		Service     string
-		DataCentre  string
-		Shard       int
-		Shards      int
-		Slots       int
-		Connections int
-		SetUp       time.Duration
-		Work        time.Duration
-		Distance    time.Duration
-		// Pace multiplies the times that the leaf itself keeps; 0 counts as 1.
-		Pace float64
+		ID             string
+		Index          string
+		Service        string
+		DataCentre     string
+		Shard          int
+		Shards         int
+		Slots          int
+		Connections    int
+		ConnectTime    time.Duration
+		ProcessingTime time.Duration
+		RoundTrip      time.Duration
+		// TimeScale multiplies the leaf's own recovery and grace times; 0 means 1.
+		TimeScale float64
 	}
 
-	// Leaf is one emulated leaf.
+	// Leaf is an emulated leaf that serves one shard over HTTP.
 	Leaf struct {
-		spec     LeafSpec
-		fleet    *Fleet
-		random   *rand.Rand
-		mu       sync.Mutex
-		listener *countingListener
-		server   *fasthttp.Server
-		address  string
-		start    int
-		running  map[string]chan struct{}
-		effects  map[string]int
-		versions []leaf.Holding
-		cold     int
-		coldSeen time.Time
-		coldAt   time.Time
-		fallen   time.Time
-		slow     float64
-		down     bool
-		leaving  bool
+		spec             LeafSpec
+		fleet            *Fleet
+		random           *rand.Rand
+		mu               sync.Mutex
+		listener         *limitedListener
+		server           *fasthttp.Server
+		address          string
+		startCount       int
+		running          map[string]chan struct{}
+		effects          map[string]int
+		holdings         []leaf.Holding
+		coldRequestsLeft int
+		coldEvidenceAt   time.Time
+		coldSince        time.Time
+		overloadedAt     time.Time
+		slowdown         float64
+		isDown           bool
+		isDraining       bool
 	}
 )
 
 func newLeaf(spec LeafSpec, fleet *Fleet, seed uint64) *Leaf {
 	return &Leaf{
 		spec: spec, fleet: fleet, random: rand.New(rand.NewPCG(seed, 7)), running: map[string]chan struct{}{},
-		effects: map[string]int{}, slow: 1, start: 1,
+		effects: map[string]int{}, slowdown: 1, startCount: 1,
 	}
 }
 
-func (s LeafSpec) pace() float64 {
-	if s.Pace == 0 {
+func (s LeafSpec) timeScale() float64 {
+	if s.TimeScale == 0 {
 		return 1
 	}
-	return s.Pace
+	return s.TimeScale
 }
 
-// Spec returns the description of the leaf.
+// Spec returns the specification that the leaf was started with.
 func (l *Leaf) Spec() LeafSpec { return l.spec }
 
-// Address returns where the leaf listens.
+// Address returns the host and port that the leaf listens on.
 func (l *Leaf) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address
 }
 
-// SetSlow multiplies the work time of the leaf.
-func (l *Leaf) SetSlow(factor float64) {
+// SetSlowdown sets the factor that multiplies the processing time of each request; 1 is normal speed.
+func (l *Leaf) SetSlowdown(factor float64) {
 	l.mu.Lock()
-	l.slow = factor
+	l.slowdown = factor
 	l.mu.Unlock()
 }
 
-// SetVersions replaces what the leaf holds.
-func (l *Leaf) SetVersions(holdings []leaf.Holding) {
+// SetHoldings replaces the index versions and shards that the leaf holds.
+func (l *Leaf) SetHoldings(holdings []leaf.Holding) {
 	l.mu.Lock()
-	l.versions = holdings
+	l.holdings = holdings
 	l.mu.Unlock()
 }
 
-// holdingsOf returns what the leaf holds of one version.
+// holdingsOf returns the leaf's holding of the version, or nil if it has none.
 func (l *Leaf) holdingsOf(version uint64) []leaf.Holding {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, held := range l.versions {
+	for _, held := range l.holdings {
 		if held.Version == version {
 			return []leaf.Holding{held}
 		}
@@ -117,26 +119,26 @@
 	return nil
 }
 
-// SetLeaving makes the leaf announce that it is shutting down.
-func (l *Leaf) SetLeaving(leaving bool) {
+// SetDraining sets whether the leaf refuses new requests because it is shutting down.
+func (l *Leaf) SetDraining(isDraining bool) {
 	l.mu.Lock()
-	l.leaving = leaving
+	l.isDraining = isDraining
 	l.mu.Unlock()
 }
 
-// TurnCold makes the leaf cold without a restart.
-func (l *Leaf) TurnCold() {
+// ResetWarmup makes the leaf cold again without a restart.
+func (l *Leaf) ResetWarmup() {
 	l.mu.Lock()
-	l.turnCold()
+	l.resetWarmup()
 	l.mu.Unlock()
 }
 
-// Stop cuts all connections and refuses new ones.
+// Stop cancels running requests, closes all connections and refuses new ones.
 func (l *Leaf) Stop() {
 	l.mu.Lock()
 	listener := l.listener
-	l.down = true
-	l.start++
+	l.isDown = true
+	l.startCount++
 	for id, cancel := range l.running {
 		close(cancel)
 		delete(l.running, id)
@@ -147,12 +149,12 @@
 	}
 }
 
-// Restart brings a stopped leaf back cold at the same address.
+// Restart stops the leaf if it runs and starts it again, cold, at the same address.
 func (l *Leaf) Restart() error {
 	l.Stop()
 	l.mu.Lock()
-	l.down = false
-	l.turnCold()
+	l.isDown = false
+	l.resetWarmup()
 	address := l.address
 	l.mu.Unlock()
 	return l.listen(address)
@@ -161,9 +163,9 @@
 func (l *Leaf) listen(address string) error {
 	raw, err := net.Listen("tcp", address)
 	if err != nil {
-		return errors.Wrapf(err, "emulate leaf %s", l.spec.ID)
+		return errors.Wrapf(err, "listen for emulated leaf %s", l.spec.ID)
 	}
-	listener := newCountingListener(raw, l.spec.Connections, l.spec.SetUp, func() { l.fleet.breach(BreachConnections, l.spec.ID) })
+	listener := newLimitedListener(raw, l.spec.Connections, l.spec.ConnectTime, func() { l.fleet.recordViolation(ViolationConnections, l.spec.ID) })
 	server := &fasthttp.Server{Handler: l.handle, NoDefaultServerHeader: true, NoDefaultDate: true, Concurrency: 1 << 16}
 	l.mu.Lock()
 	l.listener = listener
@@ -177,24 +179,24 @@
 func (l *Leaf) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case leaf.PathSearch:
-		l.onSearch(ctx)
+		l.handleSearch(ctx)
 	case leaf.PathCancel:
-		l.onCancel(ctx)
+		l.handleCancel(ctx)
 	case leaf.PathHoldings:
-		l.onHoldings(ctx)
+		l.handleHoldings(ctx)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-func (l *Leaf) onHoldings(ctx *fasthttp.RequestCtx) {
+func (l *Leaf) handleHoldings(ctx *fasthttp.RequestCtx) {
 	l.mu.Lock()
-	response := leaf.Response{RunID: l.startName(), Holdings: l.versions}
+	response := leaf.Response{RunID: l.startID(), Holdings: l.holdings}
 	l.mu.Unlock()
-	reply(ctx, fasthttp.StatusOK, response)
+	writeResponse(ctx, fasthttp.StatusOK, response)
 }
 
-func (l *Leaf) onCancel(ctx *fasthttp.RequestCtx) {
+func (l *Leaf) handleCancel(ctx *fasthttp.RequestCtx) {
 	var body struct {
 		ID string `json:"id"`
 	}
@@ -209,76 +211,76 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-func (l *Leaf) onSearch(ctx *fasthttp.RequestCtx) {
+func (l *Leaf) handleSearch(ctx *fasthttp.RequestCtx) {
 	var request leaf.Request
 	if err := json.Unmarshal(ctx.PostBody(), &request); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
-	from := string(ctx.Request.Header.Peek(leaf.HeaderDataCentre))
-	l.travel(from)
-	cancel, refusal := l.begin(request)
+	callerDataCentre := string(ctx.Request.Header.Peek(leaf.HeaderDataCentre))
+	l.simulateRoundTrip(callerDataCentre)
+	cancel, refusal := l.admit(request)
 	if refusal != "" {
-		l.fleet.count(func(c *Counts) { c.Refused++ })
+		l.fleet.updateCounts(func(c *Counts) { c.Refused++ })
 		l.mu.Lock()
-		response := leaf.Response{ID: request.ID, Reason: refusal, RunID: l.startName(), Holdings: l.versions}
+		response := leaf.Response{ID: request.ID, Reason: refusal, RunID: l.startID(), Holdings: l.holdings}
 		l.mu.Unlock()
-		reply(ctx, refusalStatus(refusal), response)
+		writeResponse(ctx, refusalStatus(refusal), response)
 		return
 	}
-	finished := l.work(cancel, request)
-	l.end(request.ID)
-	if !finished {
-		reply(ctx, fasthttp.StatusConflict, leaf.Response{ID: request.ID, Reason: "cancelled", Started: true})
+	isFinished := l.process(cancel, request)
+	l.finish(request.ID)
+	if !isFinished {
+		writeResponse(ctx, fasthttp.StatusConflict, leaf.Response{ID: request.ID, Reason: "cancelled", Started: true})
 		return
 	}
-	l.answer(ctx, request)
+	l.writeAnswer(ctx, request)
 }
 
-// travel waits for the round trip between two data centres.
-func (l *Leaf) travel(from string) {
-	if from != l.spec.DataCentre {
-		time.Sleep(l.spec.Distance)
+// simulateRoundTrip waits for one network round trip if the caller is in another data centre.
+func (l *Leaf) simulateRoundTrip(callerDataCentre string) {
+	if callerDataCentre != l.spec.DataCentre {
+		time.Sleep(l.spec.RoundTrip)
 	}
 }
 
-// begin takes a slot, or returns why the request is not started.
-func (l *Leaf) begin(request leaf.Request) (chan struct{}, string) {
+// admit takes a slot and returns its cancellation channel, or returns the reason for refusing the request.
+func (l *Leaf) admit(request leaf.Request) (chan struct{}, string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.fleet.count(func(c *Counts) { c.Received++ })
-	l.fleet.checkTakenOut(l.spec)
+	l.fleet.updateCounts(func(c *Counts) { c.Received++ })
+	l.fleet.checkOutOfService(l.spec)
 	switch {
-	case l.leaving:
+	case l.isDraining:
 		return nil, leaf.ReasonLeaving
-	case now.Sub(l.fallen) < times(fallRecovery, l.spec.pace()):
-		l.fallen = now
+	case now.Sub(l.overloadedAt) < scaleDuration(overloadRecovery, l.spec.timeScale()):
+		l.overloadedAt = now
 		return nil, leaf.ReasonShed
-	case !l.holds(request):
+	case !l.holdsShard(request):
 		return nil, leaf.ReasonVersionGone
 	}
-	if l.cold > 0 && len(l.running) >= coldCapacity {
-		if !l.coldSeen.IsZero() && now.Sub(l.coldSeen) > times(evidenceTolerance, l.spec.pace()) {
-			l.fleet.breach(BreachCold, l.spec.ID)
+	if l.coldRequestsLeft > 0 && len(l.running) >= coldConcurrency {
+		if !l.coldEvidenceAt.IsZero() && now.Sub(l.coldEvidenceAt) > scaleDuration(coldDetectionGrace, l.spec.timeScale()) {
+			l.fleet.recordViolation(ViolationColdStart, l.spec.ID)
 		}
-		l.fallen = now
+		l.overloadedAt = now
 		return nil, leaf.ReasonShed
 	}
 	if len(l.running) >= l.spec.Slots {
-		l.fleet.breach(BreachSlots, l.spec.ID)
+		l.fleet.recordViolation(ViolationSlots, l.spec.ID)
 		return nil, leaf.ReasonShed
 	}
-	l.fleet.onStart(request, l.spec)
+	l.fleet.recordStart(request, l.spec)
 	cancel := make(chan struct{})
 	l.running[request.ID] = cancel
 	return cancel, ""
 }
 
-// work sleeps for the time of the request and tells whether it was neither cancelled nor out of time.
-func (l *Leaf) work(cancel chan struct{}, request leaf.Request) bool {
+// process sleeps for the processing time and reports whether the request ended without being cancelled or reaching its deadline.
+func (l *Leaf) process(cancel chan struct{}, request leaf.Request) bool {
 	l.mu.Lock()
-	duration := l.workTime()
+	duration := l.drawProcessingTime()
 	l.mu.Unlock()
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -294,31 +296,32 @@
 	}
 }
 
-// workTime draws a time around the usual one with a tail of rare slow requests; l.mu is held.
-func (l *Leaf) workTime() time.Duration {
-	usual := float64(l.spec.Work)
-	drawn := usual * (0.6 + 0.4*l.random.ExpFloat64())
-	drawn = min(drawn, 3*usual)
-	if l.cold > 0 {
-		drawn *= coldFactor
+// drawProcessingTime returns a random processing time near the typical one, with a tail of rare slow requests of up to
+// three times as long before slowdowns apply; l.mu must be held.
+func (l *Leaf) drawProcessingTime() time.Duration {
+	typical := float64(l.spec.ProcessingTime)
+	drawn := typical * (0.6 + 0.4*l.random.ExpFloat64())
+	drawn = min(drawn, 3*typical)
+	if l.coldRequestsLeft > 0 {
+		drawn *= coldSlowdown
 	}
-	return time.Duration(drawn * l.slow)
+	return time.Duration(drawn * l.slowdown)
 }
 
-func (l *Leaf) end(id string) {
+func (l *Leaf) finish(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.running, id)
-	if l.cold == 0 {
+	if l.coldRequestsLeft == 0 {
 		return
 	}
-	if l.coldSeen.IsZero() {
-		l.coldSeen = time.Now()
+	if l.coldEvidenceAt.IsZero() {
+		l.coldEvidenceAt = time.Now()
 	}
-	l.cold--
+	l.coldRequestsLeft--
 }
 
-func (l *Leaf) answer(ctx *fasthttp.RequestCtx, request leaf.Request) {
+func (l *Leaf) writeAnswer(ctx *fasthttp.RequestCtx, request leaf.Request) {
 	hits, err := json.Marshal([]string{fmt.Sprintf("%s/%d@%d:%s", request.Service, request.Shard, request.Version, request.QueryID)})
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
@@ -327,15 +330,15 @@
 	l.mu.Lock()
 	response := leaf.Response{
 		ID: request.ID, Shard: request.Shard, Index: request.Index, Version: request.Version,
-		Hits: hits, RunID: l.startName(), Holdings: l.versions,
+		Hits: hits, RunID: l.startID(), Holdings: l.holdings,
 	}
 	l.mu.Unlock()
-	l.fleet.count(func(c *Counts) { c.Answered++ })
-	reply(ctx, fasthttp.StatusOK, response)
+	l.fleet.updateCounts(func(c *Counts) { c.Answered++ })
+	writeResponse(ctx, fasthttp.StatusOK, response)
 }
 
-func (l *Leaf) holds(request leaf.Request) bool {
-	for _, holding := range l.versions {
+func (l *Leaf) holdsShard(request leaf.Request) bool {
+	for _, holding := range l.holdings {
 		if holding.Index == request.Index && holding.Version == request.Version {
 			return holding.Shard == request.Shard
 		}
@@ -343,13 +346,13 @@
 	return false
 }
 
-func (l *Leaf) turnCold() {
-	l.cold = coldAnswers
-	l.coldSeen = time.Time{}
-	l.coldAt = time.Now()
+func (l *Leaf) resetWarmup() {
+	l.coldRequestsLeft = warmupRequests
+	l.coldEvidenceAt = time.Time{}
+	l.coldSince = time.Now()
 }
 
-func (l *Leaf) startName() string { return fmt.Sprintf("%s#%d", l.spec.ID, l.start) }
+func (l *Leaf) startID() string { return fmt.Sprintf("%s#%d", l.spec.ID, l.startCount) }
 
 func refusalStatus(reason string) int {
 	if reason == leaf.ReasonVersionGone {
@@ -358,7 +361,7 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-func reply(ctx *fasthttp.RequestCtx, status int, response leaf.Response) {
+func writeResponse(ctx *fasthttp.RequestCtx, status int, response leaf.Response) {
 	body, err := json.Marshal(response)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
--- a/pkg/emulator/network.go
+++ b/pkg/emulator/network.go
@@ -9,64 +9,64 @@
 )
 
 type (
-	// Network stands between instances; it can cut them off silently and delay what they send.
+	// Network emulates the links between instances, with delays between data centres and silent partitions.
 	Network struct {
-		mu       sync.Mutex
-		isolated map[string]bool
-		names    map[string]string
-		places   map[string]string
-		delay    time.Duration
-		conns    map[*cutConn]bool
+		mu          sync.Mutex
+		isolated    map[string]bool
+		instances   map[string]string
+		dataCentres map[string]string
+		oneWayDelay time.Duration
+		conns       map[*emulatedConn]bool
 	}
 
-	// cutConn is a connection between two instances. Once something was lost on it, it stays broken.
-	cutConn struct {
+	// emulatedConn is a connection between two instances. After data was dropped on it, it stays broken.
+	emulatedConn struct {
 		net.Conn
-		network *Network
-		from    string
-		to      string
-		mu      sync.Mutex
-		lost    bool
-		delay   time.Duration
-		queue   chan delayed
-		closed  chan struct{}
-		once    sync.Once
+		network     *Network
+		from        string
+		to          string
+		mu          sync.Mutex
+		broken      bool
+		oneWayDelay time.Duration
+		queue       chan delayedWrite
+		closed      chan struct{}
+		closeOnce   sync.Once
 	}
 
-	delayed struct {
+	delayedWrite struct {
 		data []byte
 		due  time.Time
 	}
 )
 
-var errLost = errors.New("the connection lost data while it was cut")
+var errDataDropped = errors.New("connection broken: data was dropped during a network partition")
 
-// NewNetwork returns a network whose instances in different data centres are delay apart, one way.
-func NewNetwork(delay time.Duration) *Network {
+// NewNetwork returns a network with the given one-way delay between instances in different data centres.
+func NewNetwork(oneWayDelay time.Duration) *Network {
 	return &Network{
-		isolated: map[string]bool{}, names: map[string]string{}, places: map[string]string{}, delay: delay, conns: map[*cutConn]bool{},
+		isolated: map[string]bool{}, instances: map[string]string{}, dataCentres: map[string]string{}, oneWayDelay: oneWayDelay, conns: map[*emulatedConn]bool{},
 	}
 }
 
-// Place registers an address of an instance and its data centre.
-func (n *Network) Place(address, instance, dataCentre string) {
+// Register records the instance that listens on address and the instance's data centre.
+func (n *Network) Register(address, instance, dataCentre string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names[address] = instance
-	n.places[instance] = dataCentre
+	n.instances[address] = instance
+	n.dataCentres[instance] = dataCentre
 }
 
-// Dialer returns how the instance opens connections to others.
+// Dialer returns the dial function of the instance from; dials across a partition end with a timeout error.
 func (n *Network) Dialer(from string) func(address string, timeout time.Duration) (net.Conn, error) {
 	return func(address string, timeout time.Duration) (net.Conn, error) {
 		n.mu.Lock()
-		to := n.names[address]
-		delay := time.Duration(0)
-		if n.places[from] != n.places[to] {
-			delay = n.delay
+		to := n.instances[address]
+		oneWayDelay := time.Duration(0)
+		if n.dataCentres[from] != n.dataCentres[to] {
+			oneWayDelay = n.oneWayDelay
 		}
 		n.mu.Unlock()
-		if n.cut(from, to) {
+		if n.isPartitioned(from, to) {
 			time.Sleep(timeout)
 			return nil, errors.Errorf("dial %s: timeout", address)
 		}
@@ -74,123 +74,124 @@
 		if err != nil {
 			return nil, err
 		}
-		return n.wrap(raw, from, to, delay), nil
+		return n.wrap(raw, from, to, oneWayDelay), nil
 	}
 }
 
-// Isolate cuts an instance off silently in both directions.
+// Isolate partitions an instance from all others: data in both directions is dropped without an error.
 func (n *Network) Isolate(instance string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isolated[instance] = true
 }
 
-// Heal ends the isolation of an instance; connections that lost data break.
+// Heal ends the isolation of an instance and closes those of its connections on which data was dropped.
 func (n *Network) Heal(instance string) {
 	n.mu.Lock()
 	delete(n.isolated, instance)
-	var broken []*cutConn
+	var affected []*emulatedConn
 	for conn := range n.conns {
 		if conn.from == instance || conn.to == instance {
-			broken = append(broken, conn)
+			affected = append(affected, conn)
 		}
 	}
 	n.mu.Unlock()
-	for _, conn := range broken {
-		if conn.isLost() {
+	for _, conn := range affected {
+		if conn.isBroken() {
 			_ = conn.Close()
 		}
 	}
 }
 
-func (n *Network) cut(from, to string) bool {
+func (n *Network) isPartitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isolated[from] || n.isolated[to]
 }
 
-func (n *Network) wrap(raw net.Conn, from, to string, delay time.Duration) net.Conn {
-	conn := &cutConn{Conn: raw, network: n, from: from, to: to, delay: delay, closed: make(chan struct{})}
+func (n *Network) wrap(raw net.Conn, from, to string, oneWayDelay time.Duration) net.Conn {
+	conn := &emulatedConn{Conn: raw, network: n, from: from, to: to, oneWayDelay: oneWayDelay, closed: make(chan struct{})}
 	n.mu.Lock()
 	n.conns[conn] = true
 	n.mu.Unlock()
-	if delay > 0 {
-		conn.queue = make(chan delayed, 4096)
-		go conn.deliver()
+	if oneWayDelay > 0 {
+		conn.queue = make(chan delayedWrite, 4096)
+		go conn.writeDelayed()
 	}
 	return conn
 }
 
-// Write sends, or loses what is written while the connection is cut.
-func (c *cutConn) Write(p []byte) (int, error) {
-	if c.network.cut(c.from, c.to) {
-		c.setLost()
+// Write sends p, or drops it and reports success during a partition.
+func (c *emulatedConn) Write(p []byte) (int, error) {
+	if c.network.isPartitioned(c.from, c.to) {
+		c.markBroken()
 		return len(p), nil
 	}
-	if c.isLost() {
-		return 0, errLost
+	if c.isBroken() {
+		return 0, errDataDropped
 	}
 	if c.queue == nil {
 		return c.Conn.Write(p)
 	}
 	select {
-	case c.queue <- delayed{data: append([]byte(nil), p...), due: time.Now().Add(2 * c.delay)}:
+	case c.queue <- delayedWrite{data: append([]byte(nil), p...), due: time.Now().Add(2 * c.oneWayDelay)}:
 		return len(p), nil
 	case <-c.closed:
 		return 0, net.ErrClosed
 	}
 }
 
-// Read receives, and drops what arrives while the connection is cut.
-func (c *cutConn) Read(p []byte) (int, error) {
+// Read returns received data and drops what arrives during a partition.
+func (c *emulatedConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil {
 			return n, err
 		}
-		if c.network.cut(c.from, c.to) {
-			c.setLost()
+		if c.network.isPartitioned(c.from, c.to) {
+			c.markBroken()
 			continue
 		}
-		if c.isLost() {
-			return 0, errLost
+		if c.isBroken() {
+			return 0, errDataDropped
 		}
 		return n, nil
 	}
 }
 
-// Close closes the connection.
-func (c *cutConn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+// Close closes the connection and discards delayed writes.
+func (c *emulatedConn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// deliver writes what was queued when it is due; the whole round trip is spent on the way out.
-func (c *cutConn) deliver() {
+// writeDelayed sends queued writes when they are due. Only the dialling side is emulated, so its writes carry the delay of
+// the whole round trip.
+func (c *emulatedConn) writeDelayed() {
 	for {
 		select {
 		case <-c.closed:
 			return
-		case item := <-c.queue:
-			time.Sleep(time.Until(item.due))
-			if _, err := c.Conn.Write(item.data); err != nil {
+		case write := <-c.queue:
+			time.Sleep(time.Until(write.due))
+			if _, err := c.Conn.Write(write.data); err != nil {
 				return
 			}
 		}
 	}
 }
 
-func (c *cutConn) setLost() {
+func (c *emulatedConn) markBroken() {
 	c.mu.Lock()
-	c.lost = true
+	c.broken = true
 	c.mu.Unlock()
 }
 
-func (c *cutConn) isLost() bool {
+func (c *emulatedConn) isBroken() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lost
+	return c.broken
 }
--- a/pkg/emulator/shapes.go
+++ b/pkg/emulator/shapes.go
@@ -1,6 +1,6 @@
-// The shapes are both users' sizes of today. A leaf count is read as the
-// leafs of a service in each data centre, one for each shard, so each shard
-// has one replica per data centre.
+// The shapes reproduce the present deployments of the two users. The leaf
+// count of a service is taken as its number of leafs in each data centre, one
+// per shard, so each shard has one replica per data centre.
 
 package emulator
 
@@ -12,106 +12,106 @@
 )
 
 const (
-	agencyDistance    = time.Millisecond
-	tobermoryDistance = 500 * time.Microsecond
-	slowSetUp         = 6 * time.Millisecond
-	quickSetUp        = time.Millisecond
+	agencyRoundTrip    = time.Millisecond
+	tobermoryRoundTrip = 500 * time.Microsecond
+	slowConnectTime    = 6 * time.Millisecond
+	fastConnectTime    = time.Millisecond
 )
 
 type (
-	// Family is a group of services of the same shape.
-	Family struct {
-		Name         string
-		Services     int
-		Leafs        int
-		Slots        int
-		Connections  int
-		SetUp        time.Duration
-		Work         time.Duration
-		DeadlineMs   int
-		MinCoverage  float64
-		HedgePercent float64
+	// ServiceGroup is a group of services with the same shard count, limits and timing.
+	ServiceGroup struct {
+		Name           string
+		ServiceCount   int
+		ShardCount     int
+		Slots          int
+		Connections    int
+		ConnectTime    time.Duration
+		ProcessingTime time.Duration
+		DeadlineMs     int
+		MinCoverage    float64
+		HedgePercent   float64
 	}
 
-	// Shape is one user's size.
+	// Shape describes the services and data centres of one user's deployment.
 	Shape struct {
-		Name        string
-		DataCentres []string
-		Distance    time.Duration
-		Families    []Family
-		Pace        float64
+		Name          string
+		DataCentres   []string
+		RoundTrip     time.Duration
+		ServiceGroups []ServiceGroup
+		TimeScale     float64
 	}
 )
 
-// Agency returns the size of the State Agency.
-func Agency(work time.Duration) Shape {
+// Agency returns the deployment of the State Agency, with the given typical processing time per request.
+func Agency(processingTime time.Duration) Shape {
 	return Shape{
-		Name: "agency", DataCentres: []string{"ub-a", "ub-b", "ub-c"}, Distance: agencyDistance,
-		Families: []Family{
-			{Name: "customs-desk", Services: 20, Leafs: 2, Slots: 2, Connections: 25, SetUp: slowSetUp, Work: work, DeadlineMs: 52, MinCoverage: 0.95, HedgePercent: 4},
-			{Name: "grower-portal", Services: 30, Leafs: 2, Slots: 2, Connections: 25, SetUp: slowSetUp, Work: work, DeadlineMs: 52, MinCoverage: 0.95, HedgePercent: 4},
-			{Name: "inspector-field", Services: 1, Leafs: 5, Slots: 6, Connections: 100, SetUp: quickSetUp, Work: work, DeadlineMs: 52, MinCoverage: 0.95, HedgePercent: 4},
-			{Name: "registry-admin", Services: 1, Leafs: 3, Slots: 6, Connections: 100, SetUp: quickSetUp, Work: work, DeadlineMs: 200, MinCoverage: 1, HedgePercent: 4},
+		Name: "agency", DataCentres: []string{"ub-a", "ub-b", "ub-c"}, RoundTrip: agencyRoundTrip,
+		ServiceGroups: []ServiceGroup{
+			{Name: "customs-desk", ServiceCount: 20, ShardCount: 2, Slots: 2, Connections: 25, ConnectTime: slowConnectTime, ProcessingTime: processingTime, DeadlineMs: 52, MinCoverage: 0.95, HedgePercent: 4},
+			{Name: "grower-portal", ServiceCount: 30, ShardCount: 2, Slots: 2, Connections: 25, ConnectTime: slowConnectTime, ProcessingTime: processingTime, DeadlineMs: 52, MinCoverage: 0.95, HedgePercent: 4},
+			{Name: "inspector-field", ServiceCount: 1, ShardCount: 5, Slots: 6, Connections: 100, ConnectTime: fastConnectTime, ProcessingTime: processingTime, DeadlineMs: 52, MinCoverage: 0.95, HedgePercent: 4},
+			{Name: "registry-admin", ServiceCount: 1, ShardCount: 3, Slots: 6, Connections: 100, ConnectTime: fastConnectTime, ProcessingTime: processingTime, DeadlineMs: 200, MinCoverage: 1, HedgePercent: 4},
 		},
 	}
 }
 
-// Tobermory returns the size of Tobermory Rainfall Grants.
-func Tobermory(work time.Duration) Shape {
+// Tobermory returns the deployment of Tobermory Rainfall Grants, with the given typical processing time per request.
+func Tobermory(processingTime time.Duration) Shape {
 	return Shape{
-		Name: "tobermory", DataCentres: []string{"tob-a", "tob-b", "tob-c"}, Distance: tobermoryDistance,
-		Families: []Family{
-			{Name: "grant-desk", Services: 20, Leafs: 2, Slots: 3, Connections: 30, SetUp: slowSetUp, Work: work, DeadlineMs: 250, MinCoverage: 1, HedgePercent: 4},
-			{Name: "rebate-pay", Services: 30, Leafs: 2, Slots: 3, Connections: 30, SetUp: slowSetUp, Work: work, DeadlineMs: 250, MinCoverage: 1, HedgePercent: 4},
-			{Name: "cert-audit", Services: 1, Leafs: 10, Slots: 6, Connections: 50, SetUp: quickSetUp, Work: work, DeadlineMs: 2000, MinCoverage: 1, HedgePercent: 0},
-			{Name: "tank-map", Services: 1, Leafs: 4, Slots: 6, Connections: 50, SetUp: quickSetUp, Work: work, DeadlineMs: 250, MinCoverage: 1, HedgePercent: 4},
+		Name: "tobermory", DataCentres: []string{"tob-a", "tob-b", "tob-c"}, RoundTrip: tobermoryRoundTrip,
+		ServiceGroups: []ServiceGroup{
+			{Name: "grant-desk", ServiceCount: 20, ShardCount: 2, Slots: 3, Connections: 30, ConnectTime: slowConnectTime, ProcessingTime: processingTime, DeadlineMs: 250, MinCoverage: 1, HedgePercent: 4},
+			{Name: "rebate-pay", ServiceCount: 30, ShardCount: 2, Slots: 3, Connections: 30, ConnectTime: slowConnectTime, ProcessingTime: processingTime, DeadlineMs: 250, MinCoverage: 1, HedgePercent: 4},
+			{Name: "cert-audit", ServiceCount: 1, ShardCount: 10, Slots: 6, Connections: 50, ConnectTime: fastConnectTime, ProcessingTime: processingTime, DeadlineMs: 2000, MinCoverage: 1, HedgePercent: 0},
+			{Name: "tank-map", ServiceCount: 1, ShardCount: 4, Slots: 6, Connections: 50, ConnectTime: fastConnectTime, ProcessingTime: processingTime, DeadlineMs: 250, MinCoverage: 1, HedgePercent: 4},
 		},
 	}
 }
 
-// ShapeNamed returns the shape with the given name.
-func ShapeNamed(name string, work time.Duration) (Shape, bool) {
+// ShapeByName returns the shape with the given name, or false if there is none.
+func ShapeByName(name string, processingTime time.Duration) (Shape, bool) {
 	switch name {
 	case "agency":
-		return Agency(work), true
+		return Agency(processingTime), true
 	case "tobermory":
-		return Tobermory(work), true
+		return Tobermory(processingTime), true
 	}
 	return Shape{}, false
 }
 
-// ServiceNames returns the services of a family.
-func (f Family) ServiceNames() []string {
-	if f.Services == 1 {
-		return []string{f.Name}
+// ServiceNames returns the names of the services in the group.
+func (g ServiceGroup) ServiceNames() []string {
+	if g.ServiceCount == 1 {
+		return []string{g.Name}
 	}
-	names := make([]string, 0, f.Services)
-	for i := range f.Services {
-		names = append(names, fmt.Sprintf("%s-%02d", f.Name, i+1))
+	names := make([]string, 0, g.ServiceCount)
+	for i := range g.ServiceCount {
+		names = append(names, fmt.Sprintf("%s-%02d", g.Name, i+1))
 	}
 	return names
 }
 
-// Leafs returns the descriptions of the leafs.
-func (s Shape) Leafs() []LeafSpec {
+// LeafSpecs returns the specifications of all leafs in the deployment.
+func (s Shape) LeafSpecs() []LeafSpec {
 	var leafs []LeafSpec
-	for _, family := range s.Families {
-		for _, service := range family.ServiceNames() {
-			leafs = append(leafs, s.leafsOf(family, service)...)
+	for _, group := range s.ServiceGroups {
+		for _, service := range group.ServiceNames() {
+			leafs = append(leafs, s.leafSpecsOf(group, service)...)
 		}
 	}
 	return leafs
 }
 
-// Rows returns the table of the shape.
+// Rows returns the service table rows of the deployment, one per service and data centre.
 func (s Shape) Rows() []tabulator.RowFields {
 	var rows []tabulator.RowFields
-	for _, family := range s.Families {
-		for _, service := range family.ServiceNames() {
+	for _, group := range s.ServiceGroups {
+		for _, service := range group.ServiceNames() {
 			for _, dataCentre := range s.DataCentres {
 				rows = append(rows, tabulator.RowFields{
-					Service: service, DataCentre: dataCentre, Weight: 100, Slots: family.Slots, Connections: family.Connections,
-					DeadlineMs: family.DeadlineMs, MinCoverage: family.MinCoverage, HedgePercent: family.HedgePercent,
+					Service: service, DataCentre: dataCentre, Weight: 100, Slots: group.Slots, Connections: group.Connections,
+					DeadlineMs: group.DeadlineMs, MinCoverage: group.MinCoverage, HedgePercent: group.HedgePercent,
 					State: tabulator.StateIn,
 				})
 			}
@@ -120,18 +120,19 @@
 	return rows
 }
 
-// Query returns services whose shards add up to the wanted number, or to the nearest one below.
-func (s Shape) Query(shards int) []string {
+// ServicesForShards returns services whose shard counts add up to shards, or to as much of it as the services allow without exceeding it.
+// An odd number is first made even with services that have an odd shard count.
+func (s Shape) ServicesForShards(shards int) []string {
 	var services []string
 	for pass := range 2 {
-		for _, family := range s.Families {
-			if odd := family.Leafs%2 == 1; odd != (pass == 0 && shards%2 == 1) {
+		for _, group := range s.ServiceGroups {
+			if isOdd := group.ShardCount%2 == 1; isOdd != (pass == 0 && shards%2 == 1) {
 				continue
 			}
-			for _, service := range family.ServiceNames() {
-				if family.Leafs <= shards {
+			for _, service := range group.ServiceNames() {
+				if group.ShardCount <= shards {
 					services = append(services, service)
-					shards -= family.Leafs
+					shards -= group.ShardCount
 				}
 			}
 		}
@@ -139,14 +140,14 @@
 	return services
 }
 
-func (s Shape) leafsOf(family Family, service string) []LeafSpec {
+func (s Shape) leafSpecsOf(group ServiceGroup, service string) []LeafSpec {
 	var leafs []LeafSpec
 	for _, dataCentre := range s.DataCentres {
-		for shard := range family.Leafs {
+		for shard := range group.ShardCount {
 			leafs = append(leafs, LeafSpec{
 				ID: fmt.Sprintf("%s-%s-%d", service, dataCentre, shard), Service: service, DataCentre: dataCentre,
-				Index: s.Name, Distance: s.Distance, Pace: s.Pace, Shard: shard, Shards: family.Leafs, Slots: family.Slots, Connections: family.Connections,
-				SetUp: family.SetUp, Work: family.Work,
+				Index: s.Name, RoundTrip: s.RoundTrip, TimeScale: s.TimeScale, Shard: shard, Shards: group.ShardCount, Slots: group.Slots, Connections: group.Connections,
+				ConnectTime: group.ConnectTime, ProcessingTime: group.ProcessingTime,
 			})
 		}
 	}
--- a/pkg/emulator/slow_motion.go
+++ b/pkg/emulator/slow_motion.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// SlowMotion returns the shape with every time multiplied, so that one machine can stand in for many.
-func (s Shape) SlowMotion(factor float64) Shape {
-	slow := s
-	slow.Distance = times(s.Distance, factor)
-	slow.Pace = factor
-	slow.Families = make([]Family, len(s.Families))
-	for i, family := range s.Families {
-		family.SetUp = times(family.SetUp, factor)
-		family.Work = times(family.Work, factor)
-		family.DeadlineMs = int(float64(family.DeadlineMs) * factor)
-		slow.Families[i] = family
+// WithTimeScale returns a copy of the shape with every time multiplied by factor, which lowers the request rate enough for one
+// machine to run all instances and leafs.
+func (s Shape) WithTimeScale(factor float64) Shape {
+	scaled := s
+	scaled.RoundTrip = scaleDuration(s.RoundTrip, factor)
+	scaled.TimeScale = factor
+	scaled.ServiceGroups = make([]ServiceGroup, len(s.ServiceGroups))
+	for i, group := range s.ServiceGroups {
+		group.ConnectTime = scaleDuration(group.ConnectTime, factor)
+		group.ProcessingTime = scaleDuration(group.ProcessingTime, factor)
+		group.DeadlineMs = int(float64(group.DeadlineMs) * factor)
+		scaled.ServiceGroups[i] = group
 	}
-	return slow
+	return scaled
 }
 
-// Capacity returns how many queries per second the leafs can run, when each query asks every shard of the services once.
+// Capacity returns the queries per second that the leafs can run if each query sends one request to every shard of the services.
 func (s Shape) Capacity(services []string) float64 {
-	asked := map[string]bool{}
+	isQueried := map[string]bool{}
 	for _, service := range services {
-		asked[service] = true
+		isQueried[service] = true
 	}
 	lowest := 0.0
-	for _, family := range s.Families {
-		for _, service := range family.ServiceNames() {
-			capacity := float64(family.Slots*len(s.DataCentres)) / family.Work.Seconds()
-			if asked[service] && (lowest == 0 || capacity < lowest) {
+	for _, group := range s.ServiceGroups {
+		for _, service := range group.ServiceNames() {
+			capacity := float64(group.Slots*len(s.DataCentres)) / group.ProcessingTime.Seconds()
+			if isQueried[service] && (lowest == 0 || capacity < lowest) {
 				lowest = capacity
 			}
 		}
@@ -35,6 +36,6 @@
 	return lowest
 }
 
-func times(d time.Duration, factor float64) time.Duration {
+func scaleDuration(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) * factor)
 }
--- a/pkg/experimenter/doc.go
+++ b/pkg/experimenter/doc.go
@@ -1,2 +1,2 @@
-// Package experimenter runs a whole tier in one process against emulated leafs, loads it and judges every answer.
+// Package experimenter runs load experiments on a complete tier in one process against emulated leafs, and checks every answer.
 package experimenter
--- a/pkg/experimenter/experiments.go
+++ b/pkg/experimenter/experiments.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	usualLoad      = 0.7
-	stragglerEvery = 100
-	stragglerSlow  = 10.0
+	normalLoad        = 0.7
+	stragglerInterval = 100
+	stragglerSlowdown = 10.0
 )
 
 type experiment struct {
-	name  string
-	about string
-	run   func(e *environment) error
+	name    string
+	purpose string
+	run     func(e *environment) error
 }
 
 var experiments = []experiment{
@@ -33,11 +33,11 @@
 	{"everything", "stragglers, a data centre out, an owner killed, leafs cold and a new index together", runEverything},
 }
 
-// Experiments returns the names and purposes of the experiments in order.
+// Experiments returns the name and purpose of each experiment in the order in which they run.
 func Experiments() [][2]string {
 	list := make([][2]string, 0, len(experiments))
 	for _, e := range experiments {
-		list = append(list, [2]string{e.name, e.about})
+		list = append(list, [2]string{e.name, e.purpose})
 	}
 	return list
 }
@@ -52,37 +52,37 @@
 }
 
 func runSteady(e *environment) error {
-	return e.load("steady", usualLoad, 8*time.Second)
+	return e.runPhase("steady", normalLoad, 8*time.Second)
 }
 
 func runStragglers(e *environment) error {
-	e.slowEvery(0, stragglerSlow)
-	if err := e.load("still", usualLoad, 8*time.Second); err != nil {
+	e.setStragglers(0, stragglerSlowdown)
+	if err := e.runPhase("still", normalLoad, 8*time.Second); err != nil {
 		return err
 	}
-	return e.load("moving", usualLoad, 8*time.Second,
-		step{2 * time.Second, "other leafs are slow", func() error { e.slowEvery(7, stragglerSlow); return nil }},
-		step{5 * time.Second, "other leafs are slow", func() error { e.slowEvery(31, stragglerSlow); return nil }})
+	return e.runPhase("moving", normalLoad, 8*time.Second,
+		step{2 * time.Second, "other leafs are slow", func() error { e.setStragglers(7, stragglerSlowdown); return nil }},
+		step{5 * time.Second, "other leafs are slow", func() error { e.setStragglers(31, stragglerSlowdown); return nil }})
 }
 
 func runReplicaLoss(e *environment) error {
 	centres := e.shape.DataCentres
-	return e.load("losing", 0.2, 12*time.Second,
-		step{2 * time.Second, "all leafs in " + centres[2] + " are lost", func() error { e.stopAll(centres[2]); return nil }},
-		step{7 * time.Second, "all leafs in " + centres[1] + " are lost", func() error { e.stopAll(centres[1]); return nil }})
+	return e.runPhase("losing", 0.2, 12*time.Second,
+		step{2 * time.Second, "all leafs in " + centres[2] + " are lost", func() error { e.stopLeafsIn(centres[2]); return nil }},
+		step{7 * time.Second, "all leafs in " + centres[1] + " are lost", func() error { e.stopLeafsIn(centres[1]); return nil }})
 }
 
 func runColdStart(e *environment) error {
 	centre := e.shape.DataCentres[1]
-	return e.load("cold", 0.4, 14*time.Second,
+	return e.runPhase("cold", 0.4, 14*time.Second,
 		step{2 * time.Second, "one leaf starts again", func() error { return e.fleet.Leafs()[0].Restart() }},
-		step{4 * time.Second, "all leafs in " + centre + " start again", func() error { return e.restartAll(centre) }},
-		step{10 * time.Second, "every tenth leaf turns cold unannounced", func() error { e.turnCold(); return nil }})
+		step{4 * time.Second, "all leafs in " + centre + " start again", func() error { return e.restartLeafsIn(centre) }},
+		step{10 * time.Second, "every tenth leaf turns cold unannounced", func() error { e.resetWarmups(); return nil }})
 }
 
 func runDataCentre(e *environment) error {
 	centre := e.shape.DataCentres[1]
-	return e.load("out and in", usualLoad*2/3, 14*time.Second,
+	return e.runPhase("out and in", normalLoad*2/3, 14*time.Second,
 		step{2 * time.Second, "take " + centre + " out", func() error { return e.setDataCentre(centre, tabulator.StateOut) }},
 		step{8 * time.Second, "bring " + centre + " back", func() error { return e.setDataCentre(centre, tabulator.StateIn) }})
 }
@@ -92,7 +92,7 @@
 		name  string
 		share float64
 	}{{"1x", 1}, {"1.5x", 1.5}, {"3x", 3}} {
-		if err := e.load(phase.name, phase.share, 8*time.Second); err != nil {
+		if err := e.runPhase(phase.name, phase.share, 8*time.Second); err != nil {
 			return err
 		}
 	}
@@ -102,7 +102,7 @@
 func runVersions(e *environment) error {
 	index := e.shape.Name
 	publish := func() error { e.fleet.Publish(index, true); return nil }
-	return e.load("new versions", usualLoad*2/3, 12*time.Second,
+	return e.runPhase("new versions", normalLoad*2/3, 12*time.Second,
 		step{2 * time.Second, "a new version", publish},
 		step{4 * time.Second, "a new version", publish},
 		step{6 * time.Second, "a new version replaces the present one at once", func() error { e.fleet.Publish(index, false); return nil }},
@@ -111,59 +111,59 @@
 
 func runEntryLoss(e *environment) error {
 	last := e.tier.Size() - 1
-	return e.load("losing owners", usualLoad*2/3, 14*time.Second,
+	return e.runPhase("losing owners", normalLoad*2/3, 14*time.Second,
 		step{2 * time.Second, "kill one instance", func() error { e.tier.Kill(last); return nil }},
 		step{8 * time.Second, "kill two instances", func() error { e.tier.Kill(last - 1); e.tier.Kill(last - 2); return nil }})
 }
 
 func runControlCut(e *environment) error {
 	var steps []step
-	for i := range benchControl {
+	for i := range benchControlInstances {
 		name := e.tier.Settings(i).Instance
-		at := time.Duration(2+5*i) * time.Second
+		startAfter := time.Duration(2+5*i) * time.Second
 		steps = append(steps,
-			step{at, "isolate " + name, func() error { e.tier.Network().Isolate(name); return nil }},
-			step{at + 3*time.Second, "heal " + name, func() error { e.tier.Network().Heal(name); return nil }})
+			step{startAfter, "isolate " + name, func() error { e.tier.Network().Isolate(name); return nil }},
+			step{startAfter + 3*time.Second, "heal " + name, func() error { e.tier.Network().Heal(name); return nil }})
 	}
-	return e.load("cutting", usualLoad*2/3, 18*time.Second, steps...)
+	return e.runPhase("cutting", normalLoad*2/3, 18*time.Second, steps...)
 }
 
 func runLaggingHealth(e *environment) error {
-	return e.load("lagging", usualLoad*2/3, 12*time.Second,
-		step{2 * time.Second, "every tenth leaf leaves, the list does not say so", func() error { e.leave(); return nil }},
-		step{5 * time.Second, "they are gone, the list does not say so", func() error { e.stopLeaving(); return nil }})
+	return e.runPhase("lagging", normalLoad*2/3, 12*time.Second,
+		step{2 * time.Second, "every tenth leaf leaves, the list does not say so", func() error { e.drainEveryTenth(); return nil }},
+		step{5 * time.Second, "they are gone, the list does not say so", func() error { e.stopEveryTenth(); return nil }})
 }
 
 func runEverything(e *environment) error {
 	centre := e.shape.DataCentres[2]
 	last := e.tier.Size() - 1
-	e.slowEvery(3, stragglerSlow)
-	return e.load("everything", 0.35, 20*time.Second,
+	e.setStragglers(3, stragglerSlowdown)
+	return e.runPhase("everything", 0.35, 20*time.Second,
 		step{2 * time.Second, "take " + centre + " out", func() error { return e.setDataCentre(centre, tabulator.StateOut) }},
 		step{5 * time.Second, "kill one instance", func() error { e.tier.Kill(last); return nil }},
-		step{8 * time.Second, "every tenth leaf turns cold unannounced", func() error { e.turnCold(); return nil }},
+		step{8 * time.Second, "every tenth leaf turns cold unannounced", func() error { e.resetWarmups(); return nil }},
 		step{10 * time.Second, "a new version", func() error { e.fleet.Publish(e.shape.Name, true); return nil }},
 		step{12 * time.Second, "bring " + centre + " back", func() error { return e.setDataCentre(centre, tabulator.StateIn) }},
 		step{15 * time.Second, "isolate a control instance", func() error { e.tier.Network().Isolate(e.tier.Settings(0).Instance); return nil }})
 }
 
-// slowEvery makes every hundredth leaf, counted from an offset, slower and all others usual again.
-func (e *environment) slowEvery(offset int, factor float64) {
-	for i, leaf := range e.fleet.Leafs() {
-		leaf.SetSlow(1)
-		if i%stragglerEvery == offset {
-			leaf.SetSlow(factor)
+// setStragglers slows down every hundredth leaf, starting at offset, and resets all others to normal speed.
+func (e *environment) setStragglers(offset int, factor float64) {
+	for i, l := range e.fleet.Leafs() {
+		l.SetSlowdown(1)
+		if i%stragglerInterval == offset {
+			l.SetSlowdown(factor)
 		}
 	}
 }
 
-func (e *environment) stopAll(dataCentre string) {
+func (e *environment) stopLeafsIn(dataCentre string) {
 	for _, leaf := range e.leafsIn(dataCentre) {
 		leaf.Stop()
 	}
 }
 
-func (e *environment) restartAll(dataCentre string) error {
+func (e *environment) restartLeafsIn(dataCentre string) error {
 	for _, leaf := range e.leafsIn(dataCentre) {
 		if err := leaf.Restart(); err != nil {
 			return err
@@ -182,7 +182,7 @@
 	return leafs
 }
 
-func (e *environment) everyTenth() []*emulator.Leaf {
+func (e *environment) everyTenthLeaf() []*emulator.Leaf {
 	var leafs []*emulator.Leaf
 	for i, leaf := range e.fleet.Leafs() {
 		if i%10 == 0 {
@@ -192,20 +192,20 @@
 	return leafs
 }
 
-func (e *environment) turnCold() {
-	for _, leaf := range e.everyTenth() {
-		leaf.TurnCold()
+func (e *environment) resetWarmups() {
+	for _, leaf := range e.everyTenthLeaf() {
+		leaf.ResetWarmup()
 	}
 }
 
-func (e *environment) leave() {
-	for _, leaf := range e.everyTenth() {
-		leaf.SetLeaving(true)
+func (e *environment) drainEveryTenth() {
+	for _, leaf := range e.everyTenthLeaf() {
+		leaf.SetDraining(true)
 	}
 }
 
-func (e *environment) stopLeaving() {
-	for _, leaf := range e.everyTenth() {
+func (e *environment) stopEveryTenth() {
+	for _, leaf := range e.everyTenthLeaf() {
 		leaf.Stop()
 	}
 }
@@ -213,7 +213,7 @@
 func (e *environment) setDataCentre(name string, state tabulator.State) error {
 	_, err := e.tier.SetDataCentre(name, state)
 	if err == nil {
-		e.fleet.TakeOut(name, state == tabulator.StateOut)
+		e.fleet.SetOutOfService(name, state == tabulator.StateOut)
 	}
 	return err
 }
--- a/pkg/experimenter/judge.go
+++ b/pkg/experimenter/judge.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// ViolationCrossed counts answers with parts of another query.
-	ViolationCrossed = "crossed-answer"
-	// ViolationSnapshot counts answers with parts of another version.
-	ViolationSnapshot = "snapshot"
-	// ViolationCoverage counts answers whose coverage is not true.
+	// ViolationOtherQuery counts parts that belong to another query or shard.
+	ViolationOtherQuery = "crossed-answer"
+	// ViolationOtherVersion counts parts from a different index version than their answer.
+	ViolationOtherVersion = "snapshot"
+	// ViolationCoverage counts answers whose reported coverage does not match their parts.
 	ViolationCoverage = "coverage"
-	// ViolationNotRun counts answers that say "not run" of a query that a leaf started.
-	ViolationNotRun = "false-not-run"
+	// ViolationFalseNotRun counts queries that were refused as not run although a leaf started them.
+	ViolationFalseNotRun = "false-not-run"
 )
 
 type (
-	// Observed is one answer as a caller saw it.
-	Observed struct {
+	// ObservedAnswer is the answer to one query as a caller received it.
+	ObservedAnswer struct {
 		ID       string
 		Services []string
 		Outcome  coordinator.Outcome
@@ -36,99 +36,100 @@
 		Effect   string
 	}
 
-	// ObservedPart is what one shard answered.
+	// ObservedPart is the part of an answer that comes from one shard.
 	ObservedPart struct {
 		Service string
 		Shard   int
 		Hits    json.RawMessage
 	}
 
-	// Judge checks every answer against what the leafs did.
-	Judge struct {
+	// Checker checks answers against the requests that the emulated leafs ran and counts violations.
+	Checker struct {
 		fleet      *emulator.Fleet
 		mu         sync.Mutex
 		violations map[string]int
 		examples   map[string]string
-		refused    []string
+		refusedIDs []string
 	}
 )
 
-// NewJudge returns a judge that asks the fleet for the shard count of each service and version.
-func NewJudge(fleet *emulator.Fleet) *Judge {
-	return &Judge{fleet: fleet, violations: map[string]int{}, examples: map[string]string{}}
+// NewChecker returns a checker that compares answers with the records of the fleet.
+func NewChecker(fleet *emulator.Fleet) *Checker {
+	return &Checker{fleet: fleet, violations: map[string]int{}, examples: map[string]string{}}
 }
 
-// Check judges one answer.
-func (j *Judge) Check(o Observed) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if o.Outcome == coordinator.OutcomeRefused {
-		j.refused = append(j.refused, o.ID)
+// Check checks one answer; refusals are checked later by Finish.
+func (c *Checker) Check(answer ObservedAnswer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if answer.Outcome == coordinator.OutcomeRefused {
+		c.refusedIDs = append(c.refusedIDs, answer.ID)
 		return
 	}
-	if o.Outcome != coordinator.OutcomeComplete && o.Outcome != coordinator.OutcomePartial {
+	if answer.Outcome != coordinator.OutcomeComplete && answer.Outcome != coordinator.OutcomePartial {
 		return
 	}
-	j.checkCoverage(o)
-	seen := map[string]bool{}
-	for _, part := range o.Parts {
-		j.checkPart(o, part, seen)
+	c.checkCoverage(answer)
+	seenShards := map[string]bool{}
+	for _, part := range answer.Parts {
+		c.checkPart(answer, part, seenShards)
 	}
 }
 
-// Finish compares the refusals with what the leafs started and returns all violations, those of the fleet included.
-func (j *Judge) Finish() (map[string]int, map[string]string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, id := range j.refused {
-		if j.fleet.StartedQuery(id) {
-			j.add(ViolationNotRun, id)
+// Finish checks the refusals against the queries that the leafs started, and returns the count and the latest example of
+// each kind of violation, including those that the fleet counted.
+func (c *Checker) Finish() (map[string]int, map[string]string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, id := range c.refusedIDs {
+		if c.fleet.HasStartedQuery(id) {
+			c.addViolation(ViolationFalseNotRun, id)
 		}
 	}
-	for kind, count := range j.fleet.Breaches() {
-		j.violations[string(kind)] += count
+	for kind, count := range c.fleet.Violations() {
+		c.violations[string(kind)] += count
 	}
-	for kind, example := range j.fleet.Examples() {
-		j.examples[string(kind)] = example
+	for kind, example := range c.fleet.Examples() {
+		c.examples[string(kind)] = example
 	}
-	return j.violations, j.examples
+	return c.violations, c.examples
 }
 
-func (j *Judge) checkCoverage(o Observed) {
+func (c *Checker) checkCoverage(answer ObservedAnswer) {
 	total := 0
-	for _, service := range o.Services {
-		total += j.fleet.ShardsOf(service, o.Version)
+	for _, service := range answer.Services {
+		total += c.fleet.ShardCount(service, answer.Version)
 	}
-	whole := o.Answered == o.Total
+	isComplete := answer.Answered == answer.Total
 	switch {
-	case o.Total != total, o.Answered != len(o.Parts), o.Answered+o.Missing != o.Total:
-		j.add(ViolationCoverage, fmt.Sprintf("%s: %d/%d of %d", o.ID, o.Answered, o.Total, total))
-	case whole != (o.Outcome == coordinator.OutcomeComplete):
-		j.add(ViolationCoverage, o.ID)
+	case answer.Total != total, answer.Answered != len(answer.Parts), answer.Answered+answer.Missing != answer.Total:
+		c.addViolation(ViolationCoverage, fmt.Sprintf("%s: %d/%d of %d", answer.ID, answer.Answered, answer.Total, total))
+	case isComplete != (answer.Outcome == coordinator.OutcomeComplete):
+		c.addViolation(ViolationCoverage, answer.ID)
 	}
 }
 
-func (j *Judge) checkPart(o Observed, part ObservedPart, seen map[string]bool) {
+func (c *Checker) checkPart(answer ObservedAnswer, part ObservedPart, seenShards map[string]bool) {
 	var hits []string
 	if err := json.Unmarshal(part.Hits, &hits); err != nil || len(hits) != 1 {
-		j.add(ViolationCoverage, o.ID+": unreadable part")
+		c.addViolation(ViolationCoverage, answer.ID+": unreadable part")
 		return
 	}
-	name, query, _ := strings.Cut(hits[0], ":")
-	shard, version, _ := strings.Cut(name, "@")
+	origin, query, _ := strings.Cut(hits[0], ":")
+	shard, version, _ := strings.Cut(origin, "@")
 	expected := fmt.Sprintf("%s/%d", part.Service, part.Shard)
 	switch {
-	case query != o.ID || shard != expected:
-		j.add(ViolationCrossed, fmt.Sprintf("%s has %s", o.ID, hits[0]))
-	case version != fmt.Sprint(o.Version):
-		j.add(ViolationSnapshot, fmt.Sprintf("%s at %d has %s", o.ID, o.Version, hits[0]))
-	case seen[shard]:
-		j.add(ViolationCoverage, o.ID+": part given twice")
+	case query != answer.ID || shard != expected:
+		c.addViolation(ViolationOtherQuery, fmt.Sprintf("%s has %s", answer.ID, hits[0]))
+	case version != fmt.Sprint(answer.Version):
+		c.addViolation(ViolationOtherVersion, fmt.Sprintf("%s at %d has %s", answer.ID, answer.Version, hits[0]))
+	case seenShards[shard]:
+		c.addViolation(ViolationCoverage, answer.ID+": part given twice")
 	}
-	seen[shard] = true
+	seenShards[shard] = true
 }
 
-func (j *Judge) add(kind, example string) {
-	j.violations[kind]++
-	j.examples[kind] = example
+func (c *Checker) addViolation(kind, example string) {
+	c.violations[kind]++
+	c.examples[kind] = example
 }
--- a/pkg/experimenter/load.go
+++ b/pkg/experimenter/load.go
@@ -1,6 +1,7 @@
-// The load is open: queries start at their planned times whatever became of
-// earlier ones, and latency counts from the planned time, so a stalled tier
-// cannot hide the queries it kept from starting.
+// The load generator is open-loop: queries start at their planned times even if
+// earlier ones have not ended, and latency is measured from the planned time.
+// This avoids coordinated omission, where a stalled tier delays later queries
+// and so hides their latency.
 
 package experimenter
 
@@ -19,84 +20,84 @@
 )
 
 const (
-	histogramLowest  = 1
-	histogramHighest = 60_000_000
-	histogramDigits  = 3
+	histogramMinUs             = 1
+	histogramMaxUs             = 60_000_000
+	histogramSignificantDigits = 3
 )
 
 type (
-	// Template is a kind of query in the load.
-	Template struct {
-		Caller   string
-		Services []string
-		Share    float64
-		Effect   bool
-	}
-
-	// Tally is what became of the queries of a load.
-	Tally struct {
-		mu        sync.Mutex
-		latency   *hdrhistogram.Histogram
-		covered   float64
-		judged    int
-		outcomes  map[coordinator.Outcome]int
-		reasons   map[string]int
-		offered   int
-		needed    int
-		slowest   time.Duration
-		slowestID string
-		seconds   map[int]*hdrhistogram.Histogram
-		begun     time.Time
-		took      time.Duration
-	}
-
-	// Ask runs one query and returns what the caller saw.
-	Ask func(ctx context.Context, query dispatcher.Request) Observed
-
-	// Load offers queries at a rate.
-	Load struct {
+	// QueryTemplate describes one type of query and its share of the load, from 0 to 1.
+	QueryTemplate struct {
+		Caller        string
+		Services      []string
+		Share         float64
+		HasSideEffect bool
+	}
+
+	// LoadStats collects the latencies, outcomes and coverage of the queries of a load.
+	LoadStats struct {
+		mu             sync.Mutex
+		latency        *hdrhistogram.Histogram
+		coverageSum    float64
+		coverageCount  int
+		outcomes       map[coordinator.Outcome]int
+		reasons        map[string]int
+		offered        int
+		shardsNeeded   int
+		slowestLatency time.Duration
+		slowestID      string
+		perSecond      map[int]*hdrhistogram.Histogram
+		startedAt      time.Time
+		duration       time.Duration
+	}
+
+	// QueryFunc runs one query and returns the answer as the caller received it.
+	QueryFunc func(ctx context.Context, query dispatcher.Request) ObservedAnswer
+
+	// LoadGenerator sends queries at a given mean rate with exponentially distributed intervals.
+	LoadGenerator struct {
 		rate      float64
-		templates []Template
-		ask       Ask
-		judge     *Judge
+		templates []QueryTemplate
+		query     QueryFunc
+		checker   *Checker
 		random    *rand.Rand
 	}
 )
 
-// NewLoad returns a load of rate queries per second.
-func NewLoad(rate float64, templates []Template, ask Ask, judge *Judge, seed uint64) *Load {
-	return &Load{rate: rate, templates: templates, ask: ask, judge: judge, random: rand.New(rand.NewPCG(seed, 11))}
+// NewLoadGenerator returns a generator of rate queries per second, whose answers go to checker.
+func NewLoadGenerator(rate float64, templates []QueryTemplate, query QueryFunc, checker *Checker, seed uint64) *LoadGenerator {
+	return &LoadGenerator{rate: rate, templates: templates, query: query, checker: checker, random: rand.New(rand.NewPCG(seed, 11))}
 }
 
-// Run offers queries for the duration, waits for all answers and returns the tally.
-func (l *Load) Run(duration time.Duration) *Tally {
-	tally := newTally()
+// Run sends queries for the duration, waits for all answers and returns the statistics.
+func (g *LoadGenerator) Run(duration time.Duration) *LoadStats {
+	stats := newLoadStats()
 	var group conc.WaitGroup
-	begin := time.Now()
-	tally.begun = begin
-	next := time.Duration(0)
-	for next < duration {
-		time.Sleep(time.Until(begin.Add(next)))
-		query := l.pick()
-		planned := begin.Add(next)
-		group.Go(func() { l.one(query, planned, tally) })
-		next += time.Duration(l.random.ExpFloat64() / l.rate * float64(time.Second))
+	startedAt := time.Now()
+	stats.startedAt = startedAt
+	offset := time.Duration(0)
+	for offset < duration {
+		time.Sleep(time.Until(startedAt.Add(offset)))
+		query := g.chooseQuery()
+		plannedAt := startedAt.Add(offset)
+		group.Go(func() { g.runQuery(query, plannedAt, stats) })
+		offset += time.Duration(g.random.ExpFloat64() / g.rate * float64(time.Second))
 	}
 	group.Wait()
-	tally.took = duration
-	return tally
+	stats.duration = duration
+	return stats
 }
 
-func (l *Load) one(query dispatcher.Request, planned time.Time, tally *Tally) {
-	observed := l.ask(context.Background(), query)
-	tally.add(observed, time.Since(planned))
-	l.judge.Check(observed)
+func (g *LoadGenerator) runQuery(query dispatcher.Request, plannedAt time.Time, stats *LoadStats) {
+	observed := g.query(context.Background(), query)
+	stats.record(observed, time.Since(plannedAt))
+	g.checker.Check(observed)
 }
 
-func (l *Load) pick() dispatcher.Request {
-	point := l.random.Float64()
-	chosen := l.templates[len(l.templates)-1]
-	for _, template := range l.templates {
+func (g *LoadGenerator) chooseQuery() dispatcher.Request {
+	point := g.random.Float64()
+	chosen := g.templates[len(g.templates)-1]
+	for _, template := range g.templates {
 		point -= template.Share
 		if point < 0 {
 			chosen = template
@@ -105,111 +106,111 @@
 	}
 	return dispatcher.Request{
 		Caller: chosen.Caller, Weight: 1, Services: dispatcher.SortServices(chosen.Services), Text: "fig",
-		Idempotent: !chosen.Effect,
+		Idempotent: !chosen.HasSideEffect,
 	}
 }
 
-func newTally() *Tally {
-	return &Tally{
-		latency:  hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits),
-		outcomes: map[coordinator.Outcome]int{}, reasons: map[string]int{}, seconds: map[int]*hdrhistogram.Histogram{},
+func newLoadStats() *LoadStats {
+	return &LoadStats{
+		latency:  hdrhistogram.New(histogramMinUs, histogramMaxUs, histogramSignificantDigits),
+		outcomes: map[coordinator.Outcome]int{}, reasons: map[string]int{}, perSecond: map[int]*hdrhistogram.Histogram{},
 	}
 }
 
-func (t *Tally) add(o Observed, latency time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.offered++
-	t.outcomes[o.Outcome]++
-	if o.Reason != "" {
-		t.reasons[string(o.Outcome)+": "+o.Reason]++
+func (s *LoadStats) record(answer ObservedAnswer, latency time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.offered++
+	s.outcomes[answer.Outcome]++
+	if answer.Reason != "" {
+		s.reasons[string(answer.Outcome)+": "+answer.Reason]++
 	}
-	if o.Outcome == coordinator.OutcomeRefused {
+	if answer.Outcome == coordinator.OutcomeRefused {
 		return
 	}
-	t.needed += o.Total
-	_ = t.latency.RecordValue(min(histogramHighest, max(1, latency.Microseconds())))
-	if o.Total > 0 {
-		t.covered += float64(o.Answered) / float64(o.Total)
-		t.judged++
+	s.shardsNeeded += answer.Total
+	_ = s.latency.RecordValue(min(histogramMaxUs, max(1, latency.Microseconds())))
+	if answer.Total > 0 {
+		s.coverageSum += float64(answer.Answered) / float64(answer.Total)
+		s.coverageCount++
 	}
-	t.addToSecond(latency)
-	if latency > t.slowest {
-		t.slowest, t.slowestID = latency, o.ID
+	s.recordInSecond(latency)
+	if latency > s.slowestLatency {
+		s.slowestLatency, s.slowestID = latency, answer.ID
 	}
 }
 
-func (t *Tally) addToSecond(latency time.Duration) {
-	second := int((time.Since(t.begun) - latency).Seconds())
-	if t.seconds[second] == nil {
-		t.seconds[second] = hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
+func (s *LoadStats) recordInSecond(latency time.Duration) {
+	second := int((time.Since(s.startedAt) - latency).Seconds())
+	if s.perSecond[second] == nil {
+		s.perSecond[second] = hdrhistogram.New(histogramMinUs, histogramMaxUs, histogramSignificantDigits)
 	}
-	_ = t.seconds[second].RecordValue(min(histogramHighest, max(1, latency.Microseconds())))
+	_ = s.perSecond[second].RecordValue(min(histogramMaxUs, max(1, latency.Microseconds())))
 }
 
-// PerSecond returns a latency quantile for each second of the load.
-func (t *Tally) PerSecond(percent float64) []time.Duration {
-	quantiles := make([]time.Duration, int(t.took.Seconds()))
+// PercentilePerSecond returns a latency percentile for each second of the load, by the planned start of the queries.
+func (s *LoadStats) PercentilePerSecond(percent float64) []time.Duration {
+	quantiles := make([]time.Duration, int(s.duration.Seconds()))
 	for second := range quantiles {
-		if histogram := t.seconds[second]; histogram != nil {
+		if histogram := s.perSecond[second]; histogram != nil {
 			quantiles[second] = time.Duration(histogram.ValueAtQuantile(percent)) * time.Microsecond
 		}
 	}
 	return quantiles
 }
 
-// Percentile returns a latency quantile of the queries that were not refused.
-func (t *Tally) Percentile(percent float64) time.Duration {
-	return time.Duration(t.latency.ValueAtQuantile(percent)) * time.Microsecond
+// Percentile returns a latency percentile, from 0 to 100, of the queries that were not refused.
+func (s *LoadStats) Percentile(percent float64) time.Duration {
+	return time.Duration(s.latency.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Outcomes returns how many queries ended with each outcome.
-func (t *Tally) Outcomes() map[coordinator.Outcome]int { return t.outcomes }
+// Outcomes returns the number of queries with each outcome.
+func (s *LoadStats) Outcomes() map[coordinator.Outcome]int { return s.outcomes }
 
-// Reasons returns how often each reason was given.
-func (t *Tally) Reasons() map[string]int { return t.reasons }
+// Reasons returns the number of queries with each outcome and reason, keyed by "outcome: reason".
+func (s *LoadStats) Reasons() map[string]int { return s.reasons }
 
-// Offered returns how many queries were offered.
-func (t *Tally) Offered() int { return t.offered }
+// Offered returns the number of queries that were sent.
+func (s *LoadStats) Offered() int { return s.offered }
 
-// Needed returns how many shards the queries that were not refused needed.
-func (t *Tally) Needed() int { return t.needed }
+// ShardsNeeded returns the number of shard requests that the queries that were not refused required at least.
+func (s *LoadStats) ShardsNeeded() int { return s.shardsNeeded }
 
-// Slowest returns the identifier and latency of the slowest query.
-func (t *Tally) Slowest() (string, time.Duration) { return t.slowestID, t.slowest }
+// Slowest returns the identifier and latency of the slowest query that was not refused.
+func (s *LoadStats) Slowest() (string, time.Duration) { return s.slowestID, s.slowestLatency }
 
-// Coverage returns the mean answered share of the queries that were not refused.
-func (t *Tally) Coverage() float64 { return t.covered / float64(max(1, t.judged)) }
+// Coverage returns the mean fraction of answered shards over the queries that were not refused, from 0 to 1.
+func (s *LoadStats) Coverage() float64 { return s.coverageSum / float64(max(1, s.coverageCount)) }
 
-// Goodput returns complete and partial answers per second.
-func (t *Tally) Goodput() float64 {
-	good := t.outcomes[coordinator.OutcomeComplete] + t.outcomes[coordinator.OutcomePartial]
-	return float64(good) / t.took.Seconds()
+// Goodput returns the number of complete and partial answers per second.
+func (s *LoadStats) Goodput() float64 {
+	answered := s.outcomes[coordinator.OutcomeComplete] + s.outcomes[coordinator.OutcomePartial]
+	return float64(answered) / s.duration.Seconds()
 }
 
-// Direct asks ready instances in turn, within the process.
-func Direct(tier *Tier, seed uint64) Ask {
+// InProcess returns a function that sends each query to a random ready instance by a call within the process.
+func InProcess(tier *Tier, seed uint64) QueryFunc {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 13))
-	return func(ctx context.Context, query dispatcher.Request) Observed {
+	return func(ctx context.Context, query dispatcher.Request) ObservedAnswer {
 		ready := tier.Ready()
 		if len(ready) == 0 {
-			return Observed{Outcome: coordinator.OutcomeRefused, Reason: "no instance is ready"}
+			return ObservedAnswer{Outcome: coordinator.OutcomeRefused, Reason: "no instance is ready"}
 		}
 		mu.Lock()
 		chosen := ready[random.IntN(len(ready))]
 		mu.Unlock()
 		instance := tier.Instance(chosen)
 		if instance == nil {
-			return Observed{Outcome: coordinator.OutcomeRefused, Reason: "the instance has stopped"}
+			return ObservedAnswer{Outcome: coordinator.OutcomeRefused, Reason: "the instance has stopped"}
 		}
-		return observe(instance.Run(ctx, query), query)
+		return newInProcessAnswer(instance.Run(ctx, query), query)
 	}
 }
 
-func observe(result dispatcher.Result, query dispatcher.Request) Observed {
+func newInProcessAnswer(result dispatcher.Result, query dispatcher.Request) ObservedAnswer {
 	answer := result.Answer
-	observed := Observed{
+	observed := ObservedAnswer{
 		ID: result.ID, Services: query.Services, Outcome: answer.Outcome, Reason: answer.Reason, Version: answer.Version.Number,
 		Answered: answer.Answered, Total: answer.Total, Missing: len(answer.Missing),
 	}
--- a/pkg/experimenter/over_http.go
+++ b/pkg/experimenter/over_http.go
@@ -10,18 +10,18 @@
 	"lovagedeck/pkg/dispatcher"
 )
 
-// OverHTTP asks ready instances in turn, as callers behind the balancer do.
-func OverHTTP(tier *Tier, seed uint64) Ask {
+// OverHTTP returns a function that sends each query over HTTP to a random ready instance, as a load balancer would.
+func OverHTTP(tier *Tier, seed uint64) QueryFunc {
 	clients := make([]*caller.Client, tier.Size())
 	for i := range clients {
 		clients[i] = caller.NewClient(tier.Settings(i).Listen.Caller)
 	}
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 13))
-	return func(_ context.Context, query dispatcher.Request) Observed {
+	return func(_ context.Context, query dispatcher.Request) ObservedAnswer {
 		ready := tier.Ready()
 		if len(ready) == 0 {
-			return Observed{Outcome: coordinator.OutcomeRefused, Reason: "no instance is ready"}
+			return ObservedAnswer{Outcome: coordinator.OutcomeRefused, Reason: "no instance is ready"}
 		}
 		mu.Lock()
 		client := clients[ready[random.IntN(len(ready))]]
@@ -30,14 +30,14 @@
 			Caller: query.Caller, Services: query.Services, Text: query.Text, Idempotent: query.Idempotent,
 		})
 		if err != nil {
-			return Observed{Services: query.Services, Outcome: coordinator.OutcomeFailed, Reason: err.Error()}
+			return ObservedAnswer{Services: query.Services, Outcome: coordinator.OutcomeFailed, Reason: err.Error()}
 		}
-		return observeHTTP(answer, query)
+		return newHTTPAnswer(answer, query)
 	}
 }
 
-func observeHTTP(answer caller.Answer, query dispatcher.Request) Observed {
-	observed := Observed{
+func newHTTPAnswer(answer caller.Answer, query dispatcher.Request) ObservedAnswer {
+	observed := ObservedAnswer{
 		ID: answer.ID, Services: query.Services, Outcome: coordinator.Outcome(answer.Outcome), Reason: answer.Reason,
 		Version: answer.Version, Answered: answer.Coverage.Answered, Total: answer.Coverage.Total, Missing: len(answer.Coverage.Missing),
 	}
--- a/pkg/experimenter/plot.go
+++ b/pkg/experimenter/plot.go
@@ -15,18 +15,18 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot writes the p99 of each second of each run to an SVG file.
+// Plot writes the p99 of each second of each run, in milliseconds, to an SVG file at path.
 func Plot(path string, runs []Run) error {
-	picture := plot.New()
-	picture.X.Label.Text = "seconds of the run"
-	picture.Y.Label.Text = "p99 in ms"
+	chart := plot.New()
+	chart.X.Label.Text = "seconds of the run"
+	chart.Y.Label.Text = "p99 in ms"
 	var lines []any
 	for _, run := range runs {
 		var points plotter.XYs
 		label := ""
 		for _, phase := range run.Phases {
 			label = fmt.Sprintf("%s, %s", phase.Experiment, phase.Policy)
-			for _, p99 := range phase.PerSecond {
+			for _, p99 := range phase.P99MsPerSecond {
 				points = append(points, plotter.XY{X: float64(len(points)), Y: p99})
 			}
 		}
@@ -34,8 +34,8 @@
 			lines = append(lines, label, points)
 		}
 	}
-	if err := plotutil.AddLines(picture, lines...); err != nil {
-		return errors.Wrap(err, "plot")
+	if err := plotutil.AddLines(chart, lines...); err != nil {
+		return errors.Wrap(err, "write plot")
 	}
-	return errors.Wrap(picture.Save(plotWidth, plotHeight, path), "plot")
+	return errors.Wrap(chart.Save(plotWidth, plotHeight, path), "write plot")
 }
--- a/pkg/experimenter/report.go
+++ b/pkg/experimenter/report.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// WriteReport writes the figures of runs as a Markdown table, with p99 marked where it misses the target.
+// WriteReport writes the results of runs as a Markdown table that marks each p99 above TargetP99.
 func WriteReport(w io.Writer, runs []Run) error {
 	lines := []string{
 		"| experiment | phase | shape | policy | load | offered/s | p50 ms | p99 ms | p99.9 ms | complete | coverage | work | violations |",
@@ -32,13 +32,13 @@
 	if run.ViolationCount() > 0 {
 		violations = fmt.Sprint(run.Violations)
 	}
-	missed := ""
+	targetMark := ""
 	if p.P99 > TargetP99 {
-		missed = " (over 52)"
+		targetMark = " (over 52)"
 	}
 	return fmt.Sprintf("| %s | %s | %s | %s | %.2f | %.0f | %.1f | %.1f%s | %.1f | %.4f | %.4f | %.3f | %s |",
-		p.Experiment, p.Phase, p.Shape, p.Policy, p.Load, p.Offered, inMillis(p.P50), inMillis(p.P99), missed, inMillis(p.P999),
-		p.Complete(), p.Coverage, p.Work, violations)
+		p.Experiment, p.Phase, p.Shape, p.Policy, p.LoadShare, p.OfferedRate, milliseconds(p.P50), milliseconds(p.P99), targetMark, milliseconds(p.P999),
+		p.CompleteRatio(), p.Coverage, p.WorkRatio, violations)
 }
 
-func inMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/pkg/experimenter/tier.go
+++ b/pkg/experimenter/tier.go
@@ -22,45 +22,45 @@
 
 const (
 	clusterName  = "experiment"
-	readyTimeout = 20 * time.Second
-	readyPoll    = 20 * time.Millisecond
-	keyMode      = 0o600
+	waitTimeout  = 20 * time.Second
+	pollInterval = 20 * time.Millisecond
+	keyFileMode  = 0o600
 	lowestPort   = 12_000
 	portCount    = 18_000
-	portTries    = 1000
+	portAttempts = 1000
 )
 
 type (
-	// TierSpec describes a tier of instances in one process.
+	// TierSpec describes the instances of a tier and the one-way network delay between data centres.
 	TierSpec struct {
-		Instances   int
-		Control     int
-		DataCentres []string
-		Delay       time.Duration
-		Platform    string
-		Options     []runner.Option
+		Instances        int
+		ControlInstances int
+		DataCentres      []string
+		OneWayDelay      time.Duration
+		PlatformURL      string
+		Options          []runner.Option
 	}
 
-	// Tier is a set of running instances.
+	// Tier is a set of instances that run in one process and share an emulated network.
 	Tier struct {
-		spec      TierSpec
-		folder    string
-		network   *emulator.Network
-		settings  []configurer.Settings
-		mu        sync.Mutex
-		instances []*runner.Instance
-		changes   int
+		spec        TierSpec
+		folder      string
+		network     *emulator.Network
+		settings    []configurer.Settings
+		mu          sync.Mutex
+		instances   []*runner.Instance
+		changeCount int
 	}
 )
 
-// NewTier starts the instances of spec; Close ends them and removes their files.
+// NewTier starts the instances of spec and waits until all are ready; Close stops them and removes their files.
 func NewTier(spec TierSpec) (*Tier, error) {
 	folder, err := os.MkdirTemp("", "lovagedeck-")
 	if err != nil {
 		return nil, errors.Wrap(err, "start tier")
 	}
-	t := &Tier{spec: spec, folder: folder, network: emulator.NewNetwork(spec.Delay), instances: make([]*runner.Instance, spec.Instances)}
-	if err := t.prepare(); err != nil {
+	t := &Tier{spec: spec, folder: folder, network: emulator.NewNetwork(spec.OneWayDelay), instances: make([]*runner.Instance, spec.Instances)}
+	if err := t.prepareSettings(); err != nil {
 		t.Close()
 		return nil, err
 	}
@@ -73,23 +73,23 @@
 	return t, t.WaitReady()
 }
 
-// Network returns the network between the instances.
+// Network returns the emulated network between the instances.
 func (t *Tier) Network() *emulator.Network { return t.network }
 
-// Instance returns a running instance, or nil where it is stopped.
+// Instance returns instance i, or nil if it is stopped.
 func (t *Tier) Instance(i int) *runner.Instance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.instances[i]
 }
 
-// Settings returns the settings of an instance.
+// Settings returns the settings of instance i.
 func (t *Tier) Settings(i int) configurer.Settings { return t.settings[i] }
 
-// Size returns the number of instances.
+// Size returns the number of instances, stopped ones included.
 func (t *Tier) Size() int { return len(t.settings) }
 
-// Start starts a stopped instance.
+// Start starts instance i, which must be stopped.
 func (t *Tier) Start(i int) error {
 	options := append([]runner.Option{
 		runner.WithDial(t.network.Dialer(t.settings[i].Instance)),
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// Kill ends an instance at once, as a crash would.
+// Kill stops instance i without draining, as a crash would.
 func (t *Tier) Kill(i int) {
 	t.mu.Lock()
 	instance := t.instances[i]
@@ -115,7 +115,7 @@
 	}
 }
 
-// Shutdown ends an instance gracefully.
+// Shutdown stops instance i after draining it.
 func (t *Tier) Shutdown(i int) {
 	instance := t.Instance(i)
 	if instance == nil {
@@ -127,7 +127,7 @@
 	t.mu.Unlock()
 }
 
-// Close ends every instance and removes the files.
+// Close stops all instances without draining and removes their files.
 func (t *Tier) Close() {
 	var group sync.WaitGroup
 	for i := range t.instances {
@@ -137,24 +137,25 @@
 	_ = os.RemoveAll(t.folder)
 }
 
-// WaitReady waits until every running instance is ready.
+// WaitReady waits until every running instance is ready; after waitTimeout it returns an error with what each one lacks.
 func (t *Tier) WaitReady() error {
-	unready := ""
-	err := waitFor(readyTimeout, "every instance is ready", func() bool {
-		unready = ""
+	reasons := ""
+	err := waitFor(waitTimeout, "every instance is ready", func() bool {
+		reasons = ""
 		for i := range t.settings {
 			if instance := t.Instance(i); instance != nil && !instance.Ready() {
-				unready += " " + instance.ID().Instance + ": " + instance.UnreadyReason()
+				reasons += " " + instance.ID().Instance + ": " + instance.UnreadyReason()
 			}
 		}
-		return unready == ""
+		return reasons == ""
 	})
-	return errors.Wrap(err, unready)
+	return errors.Wrap(err, reasons)
 }
 
-// WaitOwned waits until the owners hold the wanted number of leafs together.
+// WaitOwned waits until the instances together have opened at least the given number of leafs, or returns an error after
+// waitTimeout.
 func (t *Tier) WaitOwned(leafs int) error {
-	return waitFor(readyTimeout, "every leaf has an owner", func() bool {
+	return waitFor(waitTimeout, "every leaf has an owner", func() bool {
 		owned := 0
 		for i := range t.settings {
 			if instance := t.Instance(i); instance != nil {
@@ -165,7 +166,7 @@
 	})
 }
 
-// Operator returns a client of the administration API of a ready instance.
+// Operator returns a client of the administration API of the first ready instance, or of instance 0 if none is ready.
 func (t *Tier) Operator() *operator.Client {
 	for i := range t.settings {
 		if instance := t.Instance(i); instance != nil && instance.Ready() {
@@ -175,7 +176,7 @@
 	return operator.NewClient(t.settings[0].Listen.Operator)
 }
 
-// FindTrace asks every running instance for a kept query.
+// FindTrace returns the trace of a query from the first running instance that has kept it, or false if none has.
 func (t *Tier) FindTrace(id string) (tracer.Trace, bool) {
 	for i := range t.settings {
 		if instance := t.Instance(i); instance != nil {
@@ -187,7 +188,7 @@
 	return tracer.Trace{}, false
 }
 
-// Ready returns the running instances that are ready, as the balancer in front of them would see.
+// Ready returns the indexes of the ready instances, which a load balancer would use.
 func (t *Tier) Ready() []int {
 	var ready []int
 	for i := range t.settings {
@@ -198,13 +199,13 @@
 	return ready
 }
 
-// PutRows puts new rows into the table.
+// PutRows writes rows to the service table and returns the revision of the change.
 func (t *Tier) PutRows(rows []tabulator.RowFields) (uint64, error) {
-	change, err := t.Operator().ChangeRows(tabulator.ChangeRows{ChangeID: t.changeID(), Operator: "experiment", Rows: rows})
-	return t.accepted(change, err)
+	change, err := t.Operator().ChangeRows(tabulator.ChangeRows{ChangeID: t.nextChangeID(), Operator: "experiment", Rows: rows})
+	return t.acceptedRevision(change, err)
 }
 
-// SetDataCentre takes a data centre out or in and returns the revision.
+// SetDataCentre takes a data centre out of service or back in, and returns the revision of the change.
 func (t *Tier) SetDataCentre(name string, state tabulator.State) (uint64, error) {
 	client := t.Operator()
 	table, err := client.Table()
@@ -218,42 +219,43 @@
 		}
 	}
 	change, err := client.SetDataCentre(tabulator.SetDataCentre{
-		ChangeID: t.changeID(), Operator: "experiment", Name: name, State: state, Base: base,
+		ChangeID: t.nextChangeID(), Operator: "experiment", Name: name, State: state, Base: base,
 	})
-	return t.accepted(change, err)
+	return t.acceptedRevision(change, err)
 }
 
-// WaitInForce waits until a revision is in force everywhere and returns how long that took after it was accepted.
+// WaitInForce waits until a revision is in force on every member and returns the last reply, which includes the time since the
+// revision was accepted. It returns an error after waitTimeout.
 func (t *Tier) WaitInForce(revision uint64) (operator.InForce, error) {
-	var last operator.InForce
-	err := waitFor(readyTimeout, "the change is in force", func() bool {
+	var lastReply operator.InForce
+	err := waitFor(waitTimeout, "the change is in force", func() bool {
 		reply, err := t.Operator().InForce(revision)
-		last = reply
+		lastReply = reply
 		return err == nil && reply.IsEverywhere
 	})
-	return last, err
+	return lastReply, err
 }
 
-func (t *Tier) accepted(change operator.ChangeResult, err error) (uint64, error) {
+func (t *Tier) acceptedRevision(change operator.ChangeResult, err error) (uint64, error) {
 	if err != nil {
 		return 0, err
 	}
 	if change.Outcome != operator.OutcomeAccepted {
-		return 0, errors.Errorf("change %s: %s %v", change.ChangeID, change.Outcome, change.Errors)
+		return 0, errors.Errorf("change %s was not accepted: %s %v", change.ChangeID, change.Outcome, change.Errors)
 	}
 	return change.Revision, nil
 }
 
-func (t *Tier) changeID() string {
+func (t *Tier) nextChangeID() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changes++
-	return fmt.Sprintf("experiment-%d", t.changes)
+	t.changeCount++
+	return fmt.Sprintf("experiment-%d", t.changeCount)
 }
 
-func (t *Tier) prepare() error {
+func (t *Tier) prepareSettings() error {
 	keyFile := filepath.Join(t.folder, "cluster.key")
-	if err := os.WriteFile(keyFile, []byte("the key of an experiment"), keyMode); err != nil {
+	if err := os.WriteFile(keyFile, []byte("the key of an experiment"), keyFileMode); err != nil {
 		return errors.Wrap(err, "start tier")
 	}
 	for i := range t.spec.Instances {
@@ -274,15 +276,15 @@
 	settings := configurer.Settings{
 		Cluster: clusterName, Instance: fmt.Sprintf("entry-%d", i+1), DataCentre: t.spec.DataCentres[i%len(t.spec.DataCentres)],
 		Listen:      configurer.Listen{Caller: addresses[0], Peer: addresses[1], Operator: addresses[2]},
-		PlatformURL: t.spec.Platform, KeyFile: keyFile,
+		PlatformURL: t.spec.PlatformURL, KeyFile: keyFile,
 	}
-	t.network.Place(settings.Listen.Peer, settings.Instance, settings.DataCentre)
+	t.network.Register(settings.Listen.Peer, settings.Instance, settings.DataCentre)
 	return settings, nil
 }
 
 func (t *Tier) prepareControl() error {
 	var members []configurer.ControlMember
-	for i := range t.spec.Control {
+	for i := range t.spec.ControlInstances {
 		members = append(members, configurer.ControlMember{Instance: t.settings[i].Instance, PeerAddress: t.settings[i].Listen.Peer})
 		t.settings[i].DataDir = filepath.Join(t.folder, t.settings[i].Instance)
 		if _, err := journaler.Format(t.settings[i].DataDir, clusterName, t.settings[i].Instance, true); err != nil {
@@ -295,11 +297,11 @@
 	return nil
 }
 
-// freeAddresses returns loopback addresses with free ports below those that the system gives to outgoing connections,
-// so that none is taken before its instance listens.
+// freeAddresses returns loopback addresses with free ports. The ports are below the ephemeral range of the system, so that
+// no outgoing connection takes one before its instance listens.
 func freeAddresses(count int) ([]string, error) {
 	var addresses []string
-	for range portTries {
+	for range portAttempts {
 		address := fmt.Sprintf("127.0.0.1:%d", lowestPort+rand.IntN(portCount))
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
@@ -311,15 +313,15 @@
 			return addresses, nil
 		}
 	}
-	return nil, errors.New("find free ports: too many are taken")
+	return nil, errors.New("find free ports: too few in the search range")
 }
 
-func waitFor(timeout time.Duration, what string, done func() bool) error {
-	for end := time.Now().Add(timeout); time.Now().Before(end); {
-		if done() {
+func waitFor(timeout time.Duration, condition string, isMet func() bool) error {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
+		if isMet() {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(pollInterval)
 	}
-	return errors.Errorf("wait until %s: not within %s", what, timeout)
+	return errors.Errorf("wait until %s: timed out after %s", condition, timeout)
 }
