--- a/pkg/layering/doc.go
+++ b/pkg/layering/doc.go
@@ -1,2 +1,3 @@
-// Package layering holds the test that keeps decisions free of input and output.
+// Package layering tests that packages which make decisions do no input or output, and that names of the users' platform
+// appear only in the folder platform.
 package layering
--- a/pkg/layering/layering_test.go
+++ b/pkg/layering/layering_test.go
@@ -10,101 +10,102 @@
 	"testing"
 )
 
-// decisions are the packages that take time and randomness as arguments.
-var decisions = []string{
+// purePackages make decisions only: they take the time and random numbers as arguments and do no input or output.
+var purePackages = []string{
 	"admitter", "assigner", "chooser", "coordinator", "gatherer", "hedger", "placer", "recruiter", "replicator", "router",
 	"slicer", "spreader", "tabulator", "ticketer", "watcher",
 }
 
-var forbidden = []string{"net", "net/http", "net/rpc", "os", "syscall", "github.com/valyala/fasthttp", "github.com/gofiber/fiber/v3"}
+var forbiddenImports = []string{"net", "net/http", "net/rpc", "os", "syscall", "github.com/valyala/fasthttp", "github.com/gofiber/fiber/v3"}
 
-func TestDecisionsImportNoNetwork(t *testing.T) {
-	for _, name := range decisions {
-		for _, file := range sources(t, filepath.Join("..", name)) {
-			for _, path := range imports(t, file) {
-				if contains(forbidden, path) {
-					t.Errorf("%s imports %s", file, path)
+func TestPurePackagesImportNoNetworkOrOS(t *testing.T) {
+	for _, name := range purePackages {
+		for _, file := range sourceFiles(t, filepath.Join("..", name)) {
+			for _, path := range importPaths(t, file) {
+				if contains(forbiddenImports, path) {
+					t.Errorf("%s imports %s, which pure packages must not import", file, path)
 				}
-				if rest, ours := strings.CutPrefix(path, "lovagedeck/pkg/"); ours && !contains(decisions, rest) {
-					t.Errorf("%s imports %s, which is no package of decisions", file, path)
+				if packageName, isOwnPackage := strings.CutPrefix(path, "lovagedeck/pkg/"); isOwnPackage && !contains(purePackages, packageName) {
+					t.Errorf("%s imports %s, which is not a pure package", file, path)
 				}
 			}
 		}
 	}
 }
 
-func TestDecisionsReadNoClock(t *testing.T) {
-	for _, name := range decisions {
-		for _, file := range sources(t, filepath.Join("..", name)) {
+func TestPurePackagesReadNoClock(t *testing.T) {
+	for _, name := range purePackages {
+		for _, file := range sourceFiles(t, filepath.Join("..", name)) {
 			content, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, call := range []string{"time.Now(", "time.Since(", "time.Sleep(", "time.After("} {
 				if strings.Contains(string(content), call) {
-					t.Errorf("%s calls %s)", file, call)
+					t.Errorf("%s calls %s), want the time as an argument", file, call)
 				}
 			}
 		}
 	}
 }
 
-// platformNames are names of the users' platform, which only its folder knows.
-var platformNames = []string{"X-Lovagedeck-", "LOVAGEDECK_CONFIG", "fanoutServices", "warmupLeftMs", "cloudApi", "trafficSplit", "Evacuations", "/-/"}
+// platformLiterals are names that the users' platform defines. Only the folder platform may contain them.
+var platformLiterals = []string{"X-Lovagedeck-", "LOVAGEDECK_CONFIG", "fanoutServices", "warmupLeftMs", "cloudApi", "trafficSplit", "Evacuations", "/-/"}
 
-func TestOnlyThePlatformFolderKnowsThePlatform(t *testing.T) {
+func TestPlatformLiteralsAppearOnlyInPlatformFolder(t *testing.T) {
 	folders, err := filepath.Glob(filepath.Join("..", "*"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, folder := range append(folders, filepath.Join("..", "..", "cmd", "lovagedeckd"), filepath.Join("..", "..", "cmd", "lovagedeck")) {
-		for _, file := range sources(t, folder) {
+		for _, file := range sourceFiles(t, folder) {
 			content, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, name := range platformNames {
+			for _, name := range platformLiterals {
 				if strings.Contains(string(content), name) {
-					t.Errorf("%s knows %q", file, name)
+					t.Errorf("%s contains %q, which belongs in the folder platform", file, name)
 				}
 			}
-			for _, path := range imports(t, file) {
+			for _, path := range importPaths(t, file) {
 				if path == "lovagedeck/platform" && !strings.Contains(file, filepath.Join("cmd", "lovagedeckd")) {
-					t.Errorf("%s imports the platform", file)
+					t.Errorf("%s imports lovagedeck/platform, which only cmd/lovagedeckd may import", file)
 				}
 			}
 		}
 	}
 }
 
-// The platform folder translates: it may know the words of the product, but none of the packages that decide.
-func TestThePlatformFolderDecidesNothing(t *testing.T) {
-	words := []string{"exchanger", "gatekeeper", "lister", "router", "steward"}
-	for _, file := range sources(t, filepath.Join("..", "..", "platform")) {
-		for _, path := range imports(t, file) {
-			if rest, ours := strings.CutPrefix(path, "lovagedeck/pkg/"); ours && !contains(words, rest) {
-				t.Errorf("%s imports %s", file, path)
+// The folder platform only translates between the users' platform and this product. It may import the packages whose
+// types it translates to, but no other package that makes decisions.
+func TestPlatformFolderImportsOnlyAllowedPackages(t *testing.T) {
+	allowed := []string{"exchanger", "gatekeeper", "lister", "router", "steward"}
+	for _, file := range sourceFiles(t, filepath.Join("..", "..", "platform")) {
+		for _, path := range importPaths(t, file) {
+			if packageName, isOwnPackage := strings.CutPrefix(path, "lovagedeck/pkg/"); isOwnPackage && !contains(allowed, packageName) {
+				t.Errorf("%s imports %s, want only %v", file, path, allowed)
 			}
 		}
 	}
 }
 
-func sources(t *testing.T, folder string) []string {
+func sourceFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no sources in %s: %v", folder, err)
+		t.Fatalf("no Go files in %s: %v", folder, err)
 	}
-	var kept []string
+	var withoutTests []string
 	for _, file := range files {
 		if !strings.HasSuffix(file, "_test.go") {
-			kept = append(kept, file)
+			withoutTests = append(withoutTests, file)
 		}
 	}
-	return kept
+	return withoutTests
 }
 
-func imports(t *testing.T, file string) []string {
+func importPaths(t *testing.T, file string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
 	if err != nil {
@@ -122,8 +123,8 @@
 }
 
 func contains(values []string, value string) bool {
-	for _, other := range values {
-		if other == value {
+	for _, candidate := range values {
+		if candidate == value {
 			return true
 		}
 	}
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,2 +1,2 @@
-// Package soak holds a randomized test that runs the real programs as separate processes and injects faults from outside.
+// Package soak tests the real programs as separate processes under random faults that are injected from outside.
 package soak
--- a/soak/endless_test.go
+++ b/soak/endless_test.go
@@ -9,55 +9,55 @@
 	"time"
 )
 
-// All leafs of a third of the shards send bodies without end to the real programs. The entry instances keep to the memory of
-// the smallest machines and go on answering.
+// Guards against unbounded buffering in entry instances: all leafs of a third of the shards send bodies that never end. The
+// peak memory must stay within that of the smallest machines, and queries must still get partial results.
 func TestMemoryWithLeafsThatSendWithoutEnd(t *testing.T) {
-	const shards, endless, span = 60, 20, 8 * time.Second
-	j := newJudge()
-	s := newStage(t, build(t), firstNetwork+int(nextNetwork.Add(1)%40), j)
-	defer s.close()
-	tr := newTraffic(s, 1)
+	const shards, endlessShards, loadDuration = 60, 20, 8 * time.Second
+	c := newChecker()
+	d := newDeployment(t, buildBinary(t), firstSubnet+int(nextSubnet.Add(1)%40), c)
+	defer d.close()
+	tr := newTraffic(d, 1)
 	tr.shards = nil
 	for i := range shards {
 		tr.shards = append(tr.shards, fmt.Sprint("t", i))
 	}
-	s.addLeafs(append([]string{"once", "safe"}, tr.shards...))
-	s.start()
+	d.addLeafs(append([]string{"once", "safe"}, tr.shards...))
+	d.start()
 	random := rand.New(rand.NewPCG(1, 7))
-	for begun := time.Now(); !tr.put(random); {
-		if time.Since(begun) > startLimit {
-			t.Fatal("the first document was not accepted")
+	for startedAt := time.Now(); !tr.putDocument(random); {
+		if time.Since(startedAt) > startTimeout {
+			t.Fatal("the first document was not acknowledged before the start timeout")
 		}
 	}
-	if err := s.awaitReady(startLimit); err != nil {
+	if err := d.awaitReady(startTimeout); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range tr.shards[:endless] {
-		for _, l := range s.fleet.of(name) {
-			l.fail("endless")
+	for _, name := range tr.shards[:endlessShards] {
+		for _, l := range d.fleet.byService(name) {
+			l.setFault("endless")
 		}
 	}
 	tr.start()
-	time.Sleep(span)
-	for _, p := range s.entries() {
-		if peak := peakMemory(t, p); peak > memoryMB {
-			t.Errorf("%s took %d MiB, more than %d", p.name, peak, memoryMB)
+	time.Sleep(loadDuration)
+	for _, p := range d.entries() {
+		if peak := peakMemoryMiB(t, p); peak > memoryLimitMiB {
+			t.Errorf("%s: peak memory is %d MiB, want at most %d MiB", p.name, peak, memoryLimitMiB)
 		}
 	}
-	tr.end()
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, fault := range j.faults {
-		t.Error(fault)
+	tr.finish()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, violation := range c.violations {
+		t.Error(violation)
 	}
-	if j.partial < 50 {
-		t.Errorf("only %d partial answers", j.partial)
+	if c.partialCount < 50 {
+		t.Errorf("got %d partial results, want at least 50", c.partialCount)
 	}
-	t.Logf("%d served (%d partial), %d refused, %d failed", j.served, j.partial, j.refusals, j.failed)
+	t.Logf("%d served (%d partial), %d refused, %d failed", c.servedCount, c.partialCount, c.refusedCount, c.failedCount)
 }
 
-// peakMemory returns the most memory that the present run of a process had, in MiB.
-func peakMemory(t *testing.T, p *process) int {
+// peakMemoryMiB returns the peak resident memory of the current run of a process, in MiB.
+func peakMemoryMiB(t *testing.T, p *process) int {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,11 +66,11 @@
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(status)) {
-		var kilobytes int
-		if n, _ := fmt.Sscanf(line, "VmHWM: %d kB", &kilobytes); n == 1 {
-			return kilobytes >> 10
+		var kibibytes int
+		if n, _ := fmt.Sscanf(line, "VmHWM: %d kB", &kibibytes); n == 1 {
+			return kibibytes >> 10
 		}
 	}
-	t.Fatalf("no peak of %s", p.name)
+	t.Fatalf("/proc status of %s has no VmHWM line", p.name)
 	return 0
 }
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -11,239 +11,245 @@
 )
 
 const (
-	// drainBound is the time after which a leaving leaf gets no more work: three seconds, and one for the machine.
-	drainBound = 4 * time.Second
-	// outBound is the time after which a data centre that was taken out gets no more work.
-	outBound = 6 * time.Second
-	// staleBound is the time after which an acknowledged document is read back.
-	staleBound = 4 * time.Second
-	// revertBound is how long an instance may still act on an older document after it acted on a newer one.
-	revertBound = 500 * time.Millisecond
-	maxFaults   = 20
+	// drainLimit is the time after which a draining leaf must get no more requests: 3 s, plus 1 s for delays of the test
+	// machine.
+	drainLimit = 4 * time.Second
+	// outOfServiceLimit is the time after which a data centre that was taken out of service must get no more requests.
+	outOfServiceLimit = 6 * time.Second
+	// staleReadLimit is the age from which an acknowledged document must be returned by every read.
+	staleReadLimit = 4 * time.Second
+	// regressionLimit is how long an instance may still use an older document after it used a newer one.
+	regressionLimit = 500 * time.Millisecond
+	maxViolations   = 20
 )
 
 type (
-	// judge checks the promises by what callers, leafs and operators see.
-	judge struct {
-		mu       sync.Mutex
-		began    time.Time
-		runs     map[string]int
-		sent     map[string]sentRequest
-		refused  map[string]bool
-		leaving  map[string]time.Time
-		out      map[string]time.Time
-		acked    []ack
-		newest   map[string]sighting
-		faults   []string
-		served   int
-		partial  int
-		refusals int
-		failed   int
+	// checker checks the guarantees of the product from what callers, leafs and the operator observe.
+	checker struct {
+		mu        sync.Mutex
+		startedAt time.Time
+		// executions, requests and refusedIDs are keyed by request ID.
+		executions map[string]int
+		requests   map[string]sentRequest
+		refusedIDs map[string]bool
+		// drainingSince is keyed by leaf ID, outOfServiceSince by data centre.
+		drainingSince     map[string]time.Time
+		outOfServiceSince map[string]time.Time
+		acknowledged      []acknowledgement
+		// newestInUse is keyed by the name of a run of an instance.
+		newestInUse  map[string]observedVersion
+		violations   []string
+		servedCount  int
+		partialCount int
+		refusedCount int
+		failedCount  int
 	}
 
 	sentRequest struct {
 		method, target string
 		body           []byte
-		once           bool
-		// services are those that may run the request.
+		atMostOnce     bool
+		// services are the ones that may execute the request.
 		services []string
 	}
 
-	ack struct {
-		version uint64
-		at      time.Time
+	acknowledgement struct {
+		version        uint64
+		acknowledgedAt time.Time
 	}
 
-	sighting struct {
-		version uint64
-		at      time.Time
+	observedVersion struct {
+		version    uint64
+		observedAt time.Time
 	}
 )
 
-func newJudge() *judge {
-	return &judge{
-		began: time.Now(), runs: map[string]int{}, sent: map[string]sentRequest{}, refused: map[string]bool{},
-		leaving: map[string]time.Time{}, out: map[string]time.Time{}, newest: map[string]sighting{},
+func newChecker() *checker {
+	return &checker{
+		startedAt: time.Now(), executions: map[string]int{}, requests: map[string]sentRequest{}, refusedIDs: map[string]bool{},
+		drainingSince: map[string]time.Time{}, outOfServiceSince: map[string]time.Time{}, newestInUse: map[string]observedVersion{},
 	}
 }
 
-func (j *judge) fault(format string, args ...any) {
-	if len(j.faults) < maxFaults {
-		j.faults = append(j.faults, fmt.Sprintf("%6.2f s  ", time.Since(j.began).Seconds())+fmt.Sprintf(format, args...))
+func (c *checker) reportViolation(format string, args ...any) {
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, fmt.Sprintf("%6.2f s  ", time.Since(c.startedAt).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-func (j *judge) onSend(id string, request sentRequest) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.sent[id] = request
+func (c *checker) recordRequest(id string, request sentRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests[id] = request
 }
 
-// onRun checks that a leaf runs only what a caller sent, as it was sent, and once where that is promised.
-func (j *judge) onRun(l *leaf, id, method, target string, body []byte) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	request, known := j.sent[id]
+// checkExecution checks that a leaf executes only requests that a caller sent, unchanged, at most once where that is
+// required, and not after the leaf started draining or its data centre was taken out of service.
+func (c *checker) checkExecution(l *leaf, id, method, target string, body []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request, isKnown := c.requests[id]
 	switch {
-	case !known:
-		j.fault("leaf %s runs request %q, which nobody sent", l.id, id)
+	case !isKnown:
+		c.reportViolation("leaf %s executed request %q, which no caller sent", l.id, id)
 	case request.method != method || request.target != target || !bytes.Equal(request.body, body):
-		j.fault("request %s was changed on its way: %s %s with %d bytes", id, method, target, len(body))
+		c.reportViolation("request %s reached the leaf changed: got %s %s with %d bytes", id, method, target, len(body))
 	}
-	if known && !contains(request.services, l.service) {
-		j.fault("leaf %s of service %s runs request %s, which is for %v", l.id, l.service, id, request.services)
+	if isKnown && !contains(request.services, l.service) {
+		c.reportViolation("leaf %s of service %s executed request %s, which is for services %v", l.id, l.service, id, request.services)
 	}
-	j.runs[id]++
-	if known && request.once && j.runs[id] > 1 {
-		j.fault("request %s runs %d times", id, j.runs[id])
+	c.executions[id]++
+	if isKnown && request.atMostOnce && c.executions[id] > 1 {
+		c.reportViolation("request %s was executed %d times, want at most 1", id, c.executions[id])
 	}
-	if request.once && j.refused[id] {
-		j.fault("request %s runs after it was refused as not run", id)
+	if request.atMostOnce && c.refusedIDs[id] {
+		c.reportViolation("request %s was executed after its caller was told that it was not", id)
 	}
-	if since, ok := j.leaving[l.id]; ok && time.Since(since) > drainBound {
-		j.fault("leaf %s gets request %s %v after it was leaving", l.id, id, time.Since(since))
+	if since, ok := c.drainingSince[l.id]; ok && time.Since(since) > drainLimit {
+		c.reportViolation("leaf %s got request %s %v after it started draining", l.id, id, time.Since(since))
 	}
-	if since, ok := j.out[l.zone]; ok && time.Since(since) > outBound {
-		j.fault("leaf %s in %s gets request %s %v after its data centre was out", l.id, l.zone, id, time.Since(since))
+	if since, ok := c.outOfServiceSince[l.zone]; ok && time.Since(since) > outOfServiceLimit {
+		c.reportViolation("leaf %s in data centre %s got request %s %v after the data centre was taken out of service", l.id, l.zone, id, time.Since(since))
 	}
 }
 
-func (j *judge) onLeaving(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.leaving[id] = time.Now()
+func (c *checker) recordDraining(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.drainingSince[id] = time.Now()
 }
 
-func (j *judge) onOut(zone string, out bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	delete(j.out, zone)
-	if out {
-		j.out[zone] = time.Now()
+func (c *checker) recordOutOfService(zone string, isOut bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.outOfServiceSince, zone)
+	if isOut {
+		c.outOfServiceSince[zone] = time.Now()
 	}
 }
 
-// onAnswer checks one answer to a caller.
-func (j *judge) onAnswer(id string, request sentRequest, shards []string, minParts, top int, response *http.Response, body []byte) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// checkResponse checks a response that a caller received; shards is nil unless the request is a query of several shards.
+func (c *checker) checkResponse(id string, request sentRequest, shards []string, minParts, topK int, response *http.Response, body []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if got := response.Header.Get("X-Lovagedeck-Request-Id"); got != "" && got != id {
-		j.fault("request %s got the answer of %s", id, got)
+		c.reportViolation("request %s got the response of request %s", id, got)
 	}
 	switch status := response.StatusCode; {
 	case status == http.StatusOK && shards == nil:
-		j.served++
-		j.checkPlain(id, response, body)
+		c.servedCount++
+		c.checkSingleResponse(id, response, body)
 	case status == http.StatusOK:
-		j.served++
-		j.checkMerged(id, shards, minParts, top, response, body)
+		c.servedCount++
+		c.checkMergedResponse(id, shards, minParts, topK, response, body)
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		j.refusals++
-		j.refused[id] = true
-		if request.once && j.runs[id] > 0 {
-			j.fault("request %s was refused as not run, and has run", id)
+		c.refusedCount++
+		c.refusedIDs[id] = true
+		if request.atMostOnce && c.executions[id] > 0 {
+			c.reportViolation("request %s was refused as not executed, but a leaf had executed it", id)
 		}
 	case status == http.StatusNotFound:
-		j.fault("request %s was answered 404 on a route that every document has", id)
+		c.reportViolation("request %s got status 404 on a route that every document has", id)
 	default:
-		j.failed++
+		c.failedCount++
 	}
 }
 
-func (j *judge) checkPlain(id string, response *http.Response, body []byte) {
-	proof := response.Header.Get("X-Lovagedeck-Server-Stamp")
-	if !strings.HasSuffix(proof, "."+id) || !bytes.Equal(body, partOf(proof)) {
-		j.fault("request %s got a body that does not belong to proof %q", id, proof)
+func (c *checker) checkSingleResponse(id string, response *http.Response, body []byte) {
+	stamp := response.Header.Get("X-Lovagedeck-Server-Stamp")
+	if !strings.HasSuffix(stamp, "."+id) || !bytes.Equal(body, partForStamp(stamp)) {
+		c.reportViolation("request %s got a body that does not match server stamp %q", id, stamp)
 	}
-	if j.runs[id] == 0 {
-		j.fault("request %s was answered without a run", id)
+	if c.executions[id] == 0 {
+		c.reportViolation("request %s got a response, but no leaf executed it", id)
 	}
 }
 
-func (j *judge) checkMerged(id string, shards []string, minParts, top int, response *http.Response, body []byte) {
-	proofs := strings.Split(response.Header.Get("X-Lovagedeck-Part-Stamps"), ", ")
+func (c *checker) checkMergedResponse(id string, shards []string, minParts, topK int, response *http.Response, body []byte) {
+	stamps := strings.Split(response.Header.Get("X-Lovagedeck-Part-Stamps"), ", ")
 	missing := 0
 	_, _ = fmt.Sscan(response.Header.Get("X-Lovagedeck-Missing-Parts"), &missing)
 	if missing > 0 {
-		j.partial++
+		c.partialCount++
 	}
-	if len(proofs)+missing != len(shards) || len(proofs) < minParts {
-		j.fault("request %s has %d parts and %d missing of %d", id, len(proofs), missing, len(shards))
+	if len(stamps)+missing != len(shards) || len(stamps) < minParts {
+		c.reportViolation("response to request %s has %d parts and %d missing, want %d in total and enough parts for the minimum coverage", id, len(stamps), missing, len(shards))
 	}
 	seen := map[string]bool{}
 	var records [][]byte
-	for _, proof := range proofs {
-		service, _, _ := strings.Cut(proof, ".")
-		if seen[service] || !strings.HasSuffix(proof, "."+id) || !contains(shards, service) {
-			j.fault("request %s names the part %q", id, proof)
+	for _, stamp := range stamps {
+		service, _, _ := strings.Cut(stamp, ".")
+		if seen[service] || !strings.HasSuffix(stamp, "."+id) || !contains(shards, service) {
+			c.reportViolation("response to request %s has the unexpected or repeated part stamp %q", id, stamp)
 		}
 		seen[service] = true
-		for part := partOf(proof); len(part) >= 16; part = part[16:] {
+		for part := partForStamp(stamp); len(part) >= 16; part = part[16:] {
 			records = append(records, part[:16])
 		}
 	}
 	sort.Slice(records, func(a, b int) bool { return bytes.Compare(records[a], records[b]) > 0 })
-	if want := bytes.Join(records[:min(top, len(records))], nil); !bytes.Equal(body, want) {
-		j.fault("request %s has other records than its parts", id)
+	if want := bytes.Join(records[:min(topK, len(records))], nil); !bytes.Equal(body, want) {
+		c.reportViolation("response to request %s does not contain the top records of its parts", id)
 	}
 }
 
-func (j *judge) onAck(version uint64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.acked = append(j.acked, ack{version: version, at: time.Now()})
+func (c *checker) recordAcknowledgement(version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.acknowledged = append(c.acknowledged, acknowledgement{version: version, acknowledgedAt: time.Now()})
 }
 
-// oldestAllowed returns the version that a reading sent now must have at least.
-func (j *judge) oldestAllowed(age time.Duration) uint64 {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// minVersionToRead returns the lowest version that a read sent now may return: the newest one acknowledged at least minAge
+// ago.
+func (c *checker) minVersionToRead(minAge time.Duration) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	newest := uint64(0)
-	for _, a := range j.acked {
-		if time.Since(a.at) >= age {
-			newest = max(newest, a.version)
+	for _, ack := range c.acknowledged {
+		if time.Since(ack.acknowledgedAt) >= minAge {
+			newest = max(newest, ack.version)
 		}
 	}
 	return newest
 }
 
-func (j *judge) onRead(instance string, version, atLeast uint64) {
-	if version >= atLeast {
+func (c *checker) checkRead(instance string, version, minVersion uint64) {
+	if version >= minVersion {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.fault("%s reads version %d back, %d was acknowledged before", instance, version, atLeast)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reportViolation("%s returned version %d, want at least the acknowledged version %d", instance, version, minVersion)
 }
 
-// onActed notes that one run of an instance acted on a version; it must not go back.
-func (j *judge) onActed(boot string, version uint64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	last := j.newest[boot]
-	if version < last.version && time.Since(last.at) > revertBound {
-		j.fault("%s acts on version %d after version %d", boot, version, last.version)
+// checkVersionInUse checks that one run of an instance, which uses the given version now, does not go back to an older one.
+func (c *checker) checkVersionInUse(runName string, version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last := c.newestInUse[runName]
+	if version < last.version && time.Since(last.observedAt) > regressionLimit {
+		c.reportViolation("%s uses version %d after it used version %d", runName, version, last.version)
 	}
 	if version > last.version {
-		j.newest[boot] = sighting{version: version, at: time.Now()}
+		c.newestInUse[runName] = observedVersion{version: version, observedAt: time.Now()}
 	}
 }
 
-func (j *judge) onCut(id string, why error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.fault("request %s was cut off during a graceful shutdown: %v", id, why)
+func (c *checker) reportTruncatedResponse(id string, cause error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reportViolation("response to request %s was truncated during a graceful shutdown: %v", id, cause)
 }
 
-func (j *judge) onLost() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.failed++
+func (c *checker) countFailure() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failedCount++
 }
 
 func contains(values []string, value string) bool {
-	for _, other := range values {
-		if other == value {
+	for _, candidate := range values {
+		if candidate == value {
 			return true
 		}
 	}
--- a/soak/leafs_test.go
+++ b/soak/leafs_test.go
@@ -15,62 +15,63 @@
 )
 
 const (
-	leafSlots   = 4
-	leafWork    = 4 * time.Millisecond
-	partRecords = 12
-	listPage    = 7
+	leafSlots       = 4
+	leafServiceTime = 4 * time.Millisecond
+	recordsPerPart  = 12
+	listPageSize    = 7
 )
 
 type (
-	// leaf is a stand-in of one leaf; it tells the judge what it runs.
+	// leaf is a simulated leaf that reports every request it executes to the checker.
 	leaf struct {
 		id      string
 		service string
 		zone    string
-		judge   *judge
+		checker *checker
 		server  *http.Server
 		proxy   *proxy
 		slots   chan bool
 		mu      sync.Mutex
-		failing string
-		leaving bool
-		coldEnd time.Time
+		// fault is the kind of fault that the leaf simulates, or empty.
+		fault      string
+		isDraining bool
+		warmUpEnd  time.Time
 	}
 
-	// fleet is all leafs and the platform's list of them.
+	// fleet holds the simulated leafs and serves the platform's list of them.
 	fleet struct {
-		judge  *judge
-		mu     sync.Mutex
-		leafs  []*leaf
-		nextID int
-		list   *http.Server
-		at     string
+		checker     *checker
+		mu          sync.Mutex
+		leafs       []*leaf
+		nextID      int
+		listServer  *http.Server
+		listAddress string
 	}
 )
 
-func newFleet(j *judge) (*fleet, error) {
-	f := &fleet{judge: j}
+func newFleet(c *checker) (*fleet, error) {
+	f := &fleet{checker: c}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f.at = listener.Addr().String()
-	f.list = &http.Server{Handler: http.HandlerFunc(f.serveList)}
-	go func() { _ = f.list.Serve(listener) }()
+	f.listAddress = listener.Addr().String()
+	f.listServer = &http.Server{Handler: http.HandlerFunc(f.serveList)}
+	go func() { _ = f.listServer.Serve(listener) }()
 	return f, nil
 }
 
-// add starts a leaf; an address that is not empty is that of one that is gone.
+// add starts a leaf on the given address, or on a free one if it is empty. A given address is that of a removed leaf.
 func (f *fleet) add(service, zone, address string) (*leaf, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextID++
-	l := &leaf{id: fmt.Sprintf("i-%04d", f.nextID), service: service, zone: zone, judge: f.judge, slots: make(chan bool, leafSlots)}
+	l := &leaf{id: fmt.Sprintf("i-%04d", f.nextID), service: service, zone: zone, checker: f.checker, slots: make(chan bool, leafSlots)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l.server = &http.Server{Handler: http.HandlerFunc(l.serve), ErrorLog: quietLog}
+	l.server = &http.Server{Handler: http.HandlerFunc(l.serve), ErrorLog: discardLog}
 	go func() { _ = l.server.Serve(listener) }()
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -83,7 +84,7 @@
 	return l, nil
 }
 
-// remove ends a leaf at once and returns its address.
+// remove stops a leaf immediately and returns its address.
 func (f *fleet) remove(l *leaf) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +98,7 @@
 	return l.proxy.address()
 }
 
-func (f *fleet) of(service string) []*leaf {
+func (f *fleet) byService(service string) []*leaf {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var found []*leaf
@@ -116,61 +117,61 @@
 }
 
 func (f *fleet) close() {
-	_ = f.list.Close()
+	_ = f.listServer.Close()
 	for _, l := range f.all() {
 		f.remove(l)
 	}
 }
 
-// serveList answers page by page, with entries of other writers among them.
+// serveList serves the list in pages. It starts with malformed entries, as other writers of the list could add them.
 func (f *fleet) serveList(w http.ResponseWriter, r *http.Request) {
 	entries := []any{map[string]any{"id": 7, "service": nil}, "nonsense"}
 	zone := r.URL.Query().Get("zone")
 	for _, l := range f.all() {
 		if zone == "" || zone == l.zone {
-			entries = append(entries, l.entry())
+			entries = append(entries, l.listEntry())
 		}
 	}
-	first, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
-	first = min(first, len(entries))
-	last := min(first+listPage, len(entries))
-	page := map[string]any{"instances": entries[first:last], "nextPageToken": nil}
-	if last < len(entries) {
-		page["nextPageToken"] = strconv.Itoa(last)
+	start, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
+	start = min(start, len(entries))
+	end := min(start+listPageSize, len(entries))
+	page := map[string]any{"instances": entries[start:end], "nextPageToken": nil}
+	if end < len(entries) {
+		page["nextPageToken"] = strconv.Itoa(end)
 	}
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-func (l *leaf) entry() map[string]any {
+func (l *leaf) listEntry() map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state := "ready"
-	if l.leaving {
+	if l.isDraining {
 		state = "draining"
 	}
 	return map[string]any{
 		"id": l.id, "service": l.service, "zone": l.zone, "address": l.proxy.address(), "slots": leafSlots, "state": state,
-		"warmupLeftMs": max(0, time.Until(l.coldEnd).Milliseconds()), "version": "v1",
+		"warmupLeftMs": max(0, time.Until(l.warmUpEnd).Milliseconds()), "version": "v1",
 	}
 }
 
-func (l *leaf) fail(how string) {
+func (l *leaf) setFault(fault string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failing = how
+	l.fault = fault
 }
 
-func (l *leaf) leave() {
+func (l *leaf) drain() {
 	l.mu.Lock()
-	l.leaving = true
+	l.isDraining = true
 	l.mu.Unlock()
-	l.judge.onLeaving(l.id)
+	l.checker.recordDraining(l.id)
 }
 
-func (l *leaf) how() string {
+func (l *leaf) currentFault() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failing
+	return l.fault
 }
 
 func (l *leaf) serve(w http.ResponseWriter, r *http.Request) {
@@ -183,12 +184,12 @@
 	select {
 	case l.slots <- true:
 		defer func() { <-l.slots }()
-	case <-time.After(20 * leafWork):
+	case <-time.After(20 * leafServiceTime):
 		l.reject(w, http.StatusServiceUnavailable)
 		return
 	}
-	how := l.how()
-	if how == "shed" {
+	fault := l.currentFault()
+	if fault == "shed" {
 		l.reject(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -196,8 +197,8 @@
 	if err != nil {
 		return
 	}
-	l.judge.onRun(l, id, r.Method, r.RequestURI, body)
-	l.work(w, r, id, how)
+	l.checker.checkExecution(l, id, r.Method, r.RequestURI, body)
+	l.respond(w, r, id, fault)
 }
 
 func (l *leaf) reject(w http.ResponseWriter, status int) {
@@ -205,10 +206,10 @@
 	w.WriteHeader(status)
 }
 
-func (l *leaf) work(w http.ResponseWriter, r *http.Request, id, how string) {
-	switch how {
+func (l *leaf) respond(w http.ResponseWriter, r *http.Request, id, fault string) {
+	switch fault {
 	case "slow":
-		time.Sleep(30 * leafWork)
+		time.Sleep(30 * leafServiceTime)
 	case "hang":
 		select {
 		case <-r.Context().Done():
@@ -218,45 +219,45 @@
 	case "lose":
 		panic(http.ErrAbortHandler)
 	default:
-		time.Sleep(leafWork)
+		time.Sleep(leafServiceTime)
 	}
-	if how == "endless" {
+	if fault == "endless" {
 		writeEndlessly(w)
 		return
 	}
-	proof := l.proof(id)
-	w.Header().Set("X-Lovagedeck-Server-Stamp", proof)
-	if how == "fail" {
+	stamp := l.stamp(id)
+	w.Header().Set("X-Lovagedeck-Server-Stamp", stamp)
+	if fault == "fail" {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	part := partOf(proof)
+	part := partForStamp(stamp)
 	w.Header().Set("Content-Length", strconv.Itoa(len(part)))
-	if how == "truncate" {
+	if fault == "truncate" {
 		_, _ = w.Write(part[:len(part)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = w.Write(part)
 }
 
-// writeEndlessly sends a body until the connection is closed.
+// writeEndlessly writes a body until the connection is closed.
 func writeEndlessly(w http.ResponseWriter) {
-	piece := make([]byte, 32<<10)
+	chunk := make([]byte, 32<<10)
 	for {
-		if _, err := w.Write(piece); err != nil {
+		if _, err := w.Write(chunk); err != nil {
 			return
 		}
 	}
 }
 
-// proof names service, leaf and request, so that the judge can check whose part it is.
-func (l *leaf) proof(requestID string) string { return l.service + "." + l.id + "." + requestID }
+// stamp returns a text that names service, leaf and request, from which the checker derives the expected part.
+func (l *leaf) stamp(requestID string) string { return l.service + "." + l.id + "." + requestID }
 
-// partOf returns the records that belong to a proof.
-func partOf(proof string) []byte {
+// partForStamp returns the records that a leaf sends with the given stamp, followed by an incomplete record.
+func partForStamp(stamp string) []byte {
 	var part bytes.Buffer
-	for i := range partRecords {
-		sum := sha256.Sum256([]byte(proof + strconv.Itoa(i)))
+	for i := range recordsPerPart {
+		sum := sha256.Sum256([]byte(stamp + strconv.Itoa(i)))
 		part.Write(sum[:16])
 	}
 	part.WriteString(hex.EncodeToString(part.Bytes()[:4])[:5])
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	passing proxyMode = iota
-	// delaying holds each piece back for a moment.
-	delaying
-	// silent accepts connections and passes nothing, either way.
-	silent
-	// deafIn passes nothing from the caller to the server, deafOut nothing back.
-	deafIn
-	deafOut
+	modeForward proxyMode = iota
+	// modeDelay forwards each chunk after forwardingDelay.
+	modeDelay
+	// modeBlock accepts connections but forwards nothing in either direction.
+	modeBlock
+	// modeBlockRequests forwards nothing from the caller to the server.
+	modeBlockRequests
+	// modeBlockResponses forwards nothing from the server to the caller.
+	modeBlockResponses
 )
 
-const proxyDelay = 40 * time.Millisecond
+const forwardingDelay = 40 * time.Millisecond
 
 type (
 	proxyMode int32
 
-	// proxy stands between callers and one server.
+	// proxy forwards TCP connections to one server and can delay, block or reset them.
 	proxy struct {
 		listener net.Listener
 		target   string
@@ -47,10 +48,10 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(mode proxyMode) { p.mode.Store(int32(mode)) }
+func (p *proxy) setMode(mode proxyMode) { p.mode.Store(int32(mode)) }
 
-// reset breaks every open connection off.
-func (p *proxy) reset() {
+// resetConnections closes every open connection with a TCP reset.
+func (p *proxy) resetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.conns {
@@ -66,7 +67,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.reset()
+	p.resetConnections()
 }
 
 func (p *proxy) accept() {
@@ -75,11 +76,11 @@
 		if err != nil {
 			return
 		}
-		go p.join(caller)
+		go p.relay(caller)
 	}
 }
 
-func (p *proxy) join(caller net.Conn) {
+func (p *proxy) relay(caller net.Conn) {
 	server, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		if tcp, ok := caller.(*net.TCPConn); ok {
@@ -88,20 +89,20 @@
 		_ = caller.Close()
 		return
 	}
-	if !p.add(caller, server) {
+	if !p.track(caller, server) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(server, caller, deafIn) })
-	both.Go(func() { p.copy(caller, server, deafOut) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(server, caller, modeBlockRequests) })
+	directions.Go(func() { p.forward(caller, server, modeBlockResponses) })
+	directions.Wait()
 	p.mu.Lock()
 	delete(p.conns, caller)
 	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-func (p *proxy) add(conns ...net.Conn) bool {
+func (p *proxy) track(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
@@ -114,24 +115,25 @@
 	return !p.closed
 }
 
-// copy passes bytes on, or holds them while the mode says so: bytes behind a cut come once it heals.
-func (p *proxy) copy(to io.WriteCloser, from io.ReadCloser, deaf proxyMode) {
-	defer func() { _ = to.Close() }()
-	defer func() { _ = from.Close() }()
+// forward copies bytes from source to destination until either fails. While the mode is modeBlock or blockingMode, it keeps
+// what it has read, and forwards it when the mode changes, as the network does after a short partition.
+func (p *proxy) forward(destination io.WriteCloser, source io.ReadCloser, blockingMode proxyMode) {
+	defer func() { _ = destination.Close() }()
+	defer func() { _ = source.Close() }()
 	buffer := make([]byte, 16<<10)
 	for {
-		n, err := from.Read(buffer)
-		for mode := p.now(); mode == silent || mode == deaf; mode = p.now() {
+		n, err := source.Read(buffer)
+		for mode := p.currentMode(); mode == modeBlock || mode == blockingMode; mode = p.currentMode() {
 			time.Sleep(10 * time.Millisecond)
-			if p.gone() {
+			if p.isClosed() {
 				return
 			}
 		}
-		if p.now() == delaying {
-			time.Sleep(proxyDelay)
+		if p.currentMode() == modeDelay {
+			time.Sleep(forwardingDelay)
 		}
 		if n > 0 {
-			if _, err := to.Write(buffer[:n]); err != nil {
+			if _, err := destination.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -141,9 +143,9 @@
 	}
 }
 
-func (p *proxy) now() proxyMode { return proxyMode(p.mode.Load()) }
+func (p *proxy) currentMode() proxyMode { return proxyMode(p.mode.Load()) }
 
-func (p *proxy) gone() bool {
+func (p *proxy) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.closed
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,4 +1,4 @@
-// Run by hand, the seeds of one session:
+// A longer run with chosen seeds:
 //
 //	go test -count=1 -timeout 60m -run TestSoak ./soak -args -seeds 50 -first 1000 -span 15s
 
@@ -18,47 +18,49 @@
 )
 
 const (
-	// settleTime is how long the deployment is left alone before the last checks.
+	// settleTime is the time without faults before the final checks.
 	settleTime = 5 * time.Second
-	// catchUpTime is how long a control instance that lost its disk counts as lost.
+	// catchUpTime is the time that a control instance may take to catch up after it lost its disk.
 	catchUpTime = 4 * time.Second
-	// startLimit is how long a first start may take on a busy machine.
-	startLimit   = 30 * time.Second
-	firstNetwork = 60
+	// startTimeout limits the first start of a deployment on a busy machine.
+	startTimeout = 30 * time.Second
+	// firstSubnet is the lowest third octet of the loopback addresses of a deployment; its successors are used in turn. The
+	// listeners behind the link proxies use the octet that is 100 higher.
+	firstSubnet = 60
 )
 
 var (
-	seedCount = flag.Int("seeds", 1, "how many seeds to run")
-	firstSeed = flag.Uint64("first", 1, "the first seed")
-	span      = flag.Duration("span", 6*time.Second, "how long faults are injected in a run")
-	keepLogs  = flag.String("logs", "", "folder to keep the logs of failed runs in")
+	seedCount        = flag.Int("seeds", 1, "number of seeds to run")
+	firstSeed        = flag.Uint64("first", 1, "first seed")
+	faultDuration    = flag.Duration("span", 6*time.Second, "time during which faults are injected in each run")
+	failedLogsFolder = flag.String("logs", "", "folder for the logs of failed runs")
 
-	nextNetwork atomic.Int64
+	nextSubnet atomic.Int64
 )
 
-// failedSeeds failed once; each stays as a case, with the cause.
-var failedSeeds = []struct {
+// regressionSeeds are seeds that failed in the past, with the cause of the failure.
+var regressionSeeds = []struct {
 	seed uint64
-	// kinds is how many kinds of faults there were to draw from.
-	kinds int
-	cause string
+	// kindCount is the number of kinds of faults that existed when the seed failed.
+	kindCount int
+	cause     string
 }{
-	{2008, 19, "an old list of leafs was in use, and a leaving leaf got work: without a majority of the control instances nobody " +
-		"handed the list on, and one that was cut off from the reader granted leases with its old list"},
+	{2008, 19, "an outdated list of leafs was in use, so a draining leaf got requests: without a majority of the control instances " +
+		"the list was not forwarded, and an instance partitioned from the one that reads it granted leases with its old list"},
 }
 
 func TestSoak(t *testing.T) {
-	binary := build(t)
+	binary := buildBinary(t)
 	for i := range *seedCount {
 		seed := *firstSeed + uint64(i)
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { run(t, binary, seed, 0) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSeed(t, binary, seed, 0) })
 	}
-	for _, former := range failedSeeds {
-		t.Run(fmt.Sprint("former seed ", former.seed), func(t *testing.T) { run(t, binary, former.seed, former.kinds) })
+	for _, regression := range regressionSeeds {
+		t.Run(fmt.Sprint("former seed ", regression.seed), func(t *testing.T) { runSeed(t, binary, regression.seed, regression.kindCount) })
 	}
 }
 
-func build(t *testing.T) string {
+func buildBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "lovagedeckd")
 	if output, err := exec.Command("go", "build", "-o", binary, "../cmd/lovagedeckd").CombinedOutput(); err != nil {
@@ -67,57 +69,57 @@
 	return binary
 }
 
-// run plays one seed with faults of the first kinds, or of all where kinds is 0.
-func run(t *testing.T, binary string, seed uint64, kinds int) {
-	j := newJudge()
-	s := newStage(t, binary, firstNetwork+int(nextNetwork.Add(1)%40), j)
-	defer keep(t, s, seed)
-	defer s.close()
-	s.addLeafs(append([]string{"once", "safe"}, shardNames...))
-	s.start()
-	tr := newTraffic(s, seed)
+// runSeed runs one seed with faults of the first kindCount kinds, or of all kinds if it is 0.
+func runSeed(t *testing.T, binary string, seed uint64, kindCount int) {
+	c := newChecker()
+	d := newDeployment(t, binary, firstSubnet+int(nextSubnet.Add(1)%40), c)
+	defer keepLogsOfFailedRun(t, d, seed)
+	defer d.close()
+	d.addLeafs(append([]string{"once", "safe"}, shardNames...))
+	d.start()
+	tr := newTraffic(d, seed)
 	random := rand.New(rand.NewPCG(seed, 7))
-	for begun := time.Now(); !tr.put(random); {
-		if time.Since(begun) > startLimit {
-			t.Fatal("the first document was not accepted")
+	for startedAt := time.Now(); !tr.putDocument(random); {
+		if time.Since(startedAt) > startTimeout {
+			t.Fatal("the first document was not acknowledged before the start timeout")
 		}
 	}
-	if err := s.awaitReady(startLimit); err != nil {
+	if err := d.awaitReady(startTimeout); err != nil {
 		t.Fatal(err)
 	}
 	tr.start()
-	f := &faults{stage: s, traffic: tr, random: random, kinds: kinds, wiped: map[*process]time.Time{}}
-	f.run(*span)
+	f := &faultInjector{deployment: d, traffic: tr, random: random, kindCount: kindCount, wipedAt: map[*process]time.Time{}}
+	f.run(*faultDuration)
 	time.Sleep(settleTime)
-	if err := s.awaitReady(startLimit); err != nil {
+	if err := d.awaitReady(startTimeout); err != nil {
 		t.Error(err)
 	}
-	tr.end()
-	checkEnd(t, s, tr)
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, fault := range j.faults {
-		t.Errorf("seed %d: %s", seed, fault)
+	tr.finish()
+	checkFinalDocument(t, d, tr)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, violation := range c.violations {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
-	if j.served < 50 {
-		t.Errorf("seed %d: only %d requests were served", seed, j.served)
+	if c.servedCount < 50 {
+		t.Errorf("seed %d: %d requests were served, want at least 50", seed, c.servedCount)
 	}
 	t.Logf("seed %d: %d served (%d partial), %d refused, %d failed, %d documents, %d faults injected: %v",
-		seed, j.served, j.partial, j.refusals, j.failed, len(j.acked), len(f.done), f.done)
+		seed, c.servedCount, c.partialCount, c.refusedCount, c.failedCount, len(c.acknowledged), len(f.injected), f.injected)
 }
 
-// checkEnd reads the newest acknowledged document back from every control instance.
-func checkEnd(t *testing.T, s *stage, tr *traffic) {
-	want := s.judge.oldestAllowed(0)
-	for _, p := range s.controls() {
+// checkFinalDocument reads the newest acknowledged document back from every control instance.
+func checkFinalDocument(t *testing.T, d *deployment, tr *traffic) {
+	want := d.checker.minVersionToRead(0)
+	for _, p := range d.controls() {
 		deadline := time.Now().Add(10 * time.Second)
 		for {
-			version, answered := tr.read(p)
+			version, answered := tr.readDocument(p)
 			if answered && version >= want {
 				break
 			}
 			if time.Now().After(deadline) {
-				t.Errorf("%s reads version %d (answered: %v) at the end, %d was acknowledged", p.name, version, answered, want)
+				t.Errorf("%s returned version %d (answered: %v) at the end, want at least the acknowledged version %d", p.name, version, answered, want)
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -125,168 +127,171 @@
 	}
 }
 
-// keep copies the logs of a failed run.
-func keep(t *testing.T, s *stage, seed uint64) {
-	if !t.Failed() || *keepLogs == "" {
+// keepLogsOfFailedRun copies the folder of a failed run to failedLogsFolder, if that is set.
+func keepLogsOfFailedRun(t *testing.T, d *deployment, seed uint64) {
+	if !t.Failed() || *failedLogsFolder == "" {
 		return
 	}
-	target := filepath.Join(*keepLogs, fmt.Sprint("seed-", seed))
-	if err := os.CopyFS(target, os.DirFS(s.folder)); err != nil {
-		t.Logf("logs were not kept: %v", err)
+	target := filepath.Join(*failedLogsFolder, fmt.Sprint("seed-", seed))
+	if err := os.CopyFS(target, os.DirFS(d.folder)); err != nil {
+		t.Logf("copying the logs of the failed run: %v", err)
 	}
 }
 
-// faults are what one run injects, in a random order and overlapping.
-type faults struct {
-	stage   *stage
-	traffic *traffic
-	random  *rand.Rand
-	kinds   int
-	done    []string
-	wiped   map[*process]time.Time
-	out     string
+// faultInjector injects faults of random kinds, which may overlap, into one run.
+type faultInjector struct {
+	deployment       *deployment
+	traffic          *traffic
+	random           *rand.Rand
+	kindCount        int
+	injected         []string
+	wipedAt          map[*process]time.Time
+	outOfServiceZone string
 }
 
-func (f *faults) run(span time.Duration) {
+func (f *faultInjector) run(duration time.Duration) {
 	kinds := []struct {
 		name   string
 		inject func()
 	}{
-		{"kill entry", func() { f.entry().signal(syscall.SIGKILL) }},
-		{"stop entry", func() { f.terminate(f.entry()) }},
-		{"pause entry", func() { f.pause(f.entry()) }},
-		{"kill control", func() { f.control().signal(syscall.SIGKILL) }},
-		{"kill all controls", f.killControls},
-		{"stop control", func() { f.terminate(f.control()) }},
-		{"pause control", func() { f.pause(f.control()) }},
-		{"lose disk", func() { f.wipe(f.control()) }},
-		{"lose disks after an acknowledgement", f.wipeAfterAck},
-		{"tear log", f.tear},
-		{"cut link", func() { f.link([]proxyMode{silent, deafIn, deafOut, delaying}[f.random.IntN(4)]) }},
-		{"reset link", func() { f.control().link.reset() }},
-		{"reload", func() { f.entry().signal(syscall.SIGHUP) }},
+		{"kill entry", func() { f.randomEntry().signal(syscall.SIGKILL) }},
+		{"terminate entry", func() { f.terminate(f.randomEntry()) }},
+		{"pause entry", func() { f.pause(f.randomEntry()) }},
+		{"kill control", func() { f.randomControl().signal(syscall.SIGKILL) }},
+		{"kill all controls", f.killAllControls},
+		{"terminate control", func() { f.terminate(f.randomControl()) }},
+		{"pause control", func() { f.pause(f.randomControl()) }},
+		{"wipe disk", func() { f.wipeDisk(f.randomControl()) }},
+		{"wipe disks after acknowledgement", f.wipeDisksAfterAcknowledgement},
+		{"torn log write", f.appendTornWrite},
+		{"impair link", func() {
+			f.impairLink([]proxyMode{modeBlock, modeBlockRequests, modeBlockResponses, modeDelay}[f.random.IntN(4)])
+		}},
+		{"reset link", func() { f.randomControl().linkProxy.resetConnections() }},
+		{"reload", func() { f.randomEntry().signal(syscall.SIGHUP) }},
 		{"crash leaf", f.crashLeaf},
-		{"leaf leaves", f.leafLeaves},
-		{"leaf misbehaves", f.leafMisbehaves},
-		{"leaf link", f.leafLink},
-		{"data centre out", f.takeOut},
-		{"many documents", f.storm},
-		// A former seed draws from the first kinds: new ones come last.
-		{"read behind a cut", f.readBehindCut},
-		{"leafs send without end", f.endlessLeafs},
-	}
-	if f.kinds > 0 {
-		kinds = kinds[:f.kinds]
-	}
-	for end := time.Now().Add(span); time.Now().Before(end); {
+		{"drain leaf", f.drainLeaf},
+		{"leaf fault", f.makeLeafFail},
+		{"impair leaf link", f.impairLeafLink},
+		{"toggle data centre", f.toggleDataCentre},
+		{"many documents", f.putManyDocuments},
+		// New kinds are added at the end, so that the seeds of regressionSeeds still draw the same faults.
+		{"read during partition", f.readDuringPartition},
+		{"endless leaf bodies", f.makeLeafsEndless},
+	}
+	if f.kindCount > 0 {
+		kinds = kinds[:f.kindCount]
+	}
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		kind := kinds[f.random.IntN(len(kinds))]
-		f.done = append(f.done, kind.name)
+		f.injected = append(f.injected, kind.name)
 		kind.inject()
 		time.Sleep(time.Duration(f.random.Int64N(int64(600 * time.Millisecond))))
 	}
-	f.heal()
+	f.clearFaults()
 }
 
-// heal ends every lasting fault.
-func (f *faults) heal() {
-	for _, p := range f.stage.processes {
+// clearFaults ends every fault that is still active.
+func (f *faultInjector) clearFaults() {
+	for _, p := range f.deployment.processes {
 		p.signal(syscall.SIGCONT)
-		if p.link != nil {
-			p.link.set(passing)
+		if p.linkProxy != nil {
+			p.linkProxy.setMode(modeForward)
 		}
 	}
-	for _, l := range f.stage.fleet.all() {
-		l.fail("")
-		l.proxy.set(passing)
+	for _, l := range f.deployment.fleet.all() {
+		l.setFault("")
+		l.proxy.setMode(modeForward)
 	}
 }
 
-func (f *faults) entry() *process {
-	return f.stage.entries()[f.random.IntN(entryCount)]
+func (f *faultInjector) randomEntry() *process {
+	return f.deployment.entries()[f.random.IntN(entryCount)]
 }
 
-func (f *faults) control() *process {
-	return f.stage.controls()[f.random.IntN(controlCount)]
+func (f *faultInjector) randomControl() *process {
+	return f.deployment.controls()[f.random.IntN(controlCount)]
 }
 
-func (f *faults) later(after time.Duration, work func()) { time.AfterFunc(after, work) }
+func (f *faultInjector) schedule(delay time.Duration, action func()) { time.AfterFunc(delay, action) }
 
-func (f *faults) short() time.Duration {
+func (f *faultInjector) shortDuration() time.Duration {
 	return 200*time.Millisecond + time.Duration(f.random.Int64N(int64(2*time.Second)))
 }
 
-// long outlasts the time in which an acknowledged document must be in force.
-func (f *faults) long() time.Duration {
-	return time.Second + time.Duration(f.random.Int64N(int64(staleBound+4*time.Second)))
+// longDuration returns a random time that may exceed staleReadLimit, so that stale reads can show.
+func (f *faultInjector) longDuration() time.Duration {
+	return time.Second + time.Duration(f.random.Int64N(int64(staleReadLimit+4*time.Second)))
 }
 
-func (f *faults) terminate(p *process) {
+func (f *faultInjector) terminate(p *process) {
 	p.signal(syscall.SIGTERM)
-	boots := p.boot()
-	f.later(graceTime, func() {
-		if p.boot() == boots {
+	runName := p.runName()
+	f.schedule(gracePeriod, func() {
+		if p.runName() == runName {
 			p.signal(syscall.SIGKILL)
 		}
 	})
 }
 
-func (f *faults) pause(p *process) {
+func (f *faultInjector) pause(p *process) {
 	p.signal(syscall.SIGSTOP)
-	f.later(f.short(), func() { p.signal(syscall.SIGCONT) })
+	f.schedule(f.shortDuration(), func() { p.signal(syscall.SIGCONT) })
 }
 
-func (f *faults) killControls() {
-	for _, p := range f.stage.controls() {
+func (f *faultInjector) killAllControls() {
+	for _, p := range f.deployment.controls() {
 		p.signal(syscall.SIGKILL)
 	}
 }
 
-// wipeAfterAck kills every control instance right after one acknowledged a document, and takes the disks of two.
-func (f *faults) wipeAfterAck() {
-	if !f.traffic.put(f.random) {
+// wipeDisksAfterAcknowledgement kills every control instance right after a document was acknowledged, and wipes two disks.
+func (f *faultInjector) wipeDisksAfterAcknowledgement() {
+	if !f.traffic.putDocument(f.random) {
 		return
 	}
-	f.killControls()
+	f.killAllControls()
 	first := f.random.IntN(controlCount)
-	f.wipe(f.stage.controls()[first])
-	f.wipe(f.stage.controls()[(first+1+f.random.IntN(controlCount-1))%controlCount])
+	f.wipeDisk(f.deployment.controls()[first])
+	f.wipeDisk(f.deployment.controls()[(first+1+f.random.IntN(controlCount-1))%controlCount])
 }
 
-// wipe takes the disk of a control instance, while at most one other is lost.
-func (f *faults) wipe(p *process) {
-	lost := 0
-	for _, at := range f.wiped {
-		if time.Since(at) < catchUpTime+settleTime {
-			lost++
+// wipeDisk kills a control instance and wipes its disk. It does nothing if the instance or two others were wiped recently,
+// since the deployment tolerates the loss of two machines.
+func (f *faultInjector) wipeDisk(p *process) {
+	recentlyWiped := 0
+	for _, wipedAt := range f.wipedAt {
+		if time.Since(wipedAt) < catchUpTime+settleTime {
+			recentlyWiped++
 		}
 	}
-	if lost >= 2 || time.Since(f.wiped[p]) < catchUpTime+settleTime {
+	if recentlyWiped >= 2 || time.Since(f.wipedAt[p]) < catchUpTime+settleTime {
 		return
 	}
-	f.wiped[p] = time.Now()
-	f.stage.writeSettings(p, false)
-	p.killAnd(func() {
-		if err := os.RemoveAll(filepath.Join(p.folder, "log")); err != nil {
-			f.stage.t.Errorf("lose the disk of %s: %v", p.name, err)
+	f.wipedAt[p] = time.Now()
+	f.deployment.writeSettings(p, false)
+	p.killThen(func() {
+		if err := os.RemoveAll(filepath.Join(p.dataDir, "log")); err != nil {
+			f.deployment.t.Errorf("wipe the disk of %s: %v", p.name, err)
 		}
 	})
 }
 
-// tear kills a control instance and leaves bytes of a write that was never synced behind its log.
-func (f *faults) tear() {
-	p := f.control()
+// appendTornWrite kills a control instance and appends random bytes to its log, as an unsynced write can leave them.
+func (f *faultInjector) appendTornWrite() {
+	p := f.randomControl()
 	garbage := make([]byte, f.random.IntN(60_000))
 	for i := range garbage {
 		garbage[i] = byte(f.random.IntN(256))
 	}
-	p.killAnd(func() {
-		if err := appendToLog(filepath.Join(p.folder, "log"), garbage); err != nil {
-			f.stage.t.Errorf("tear the log of %s: %v", p.name, err)
+	p.killThen(func() {
+		if err := appendToLog(filepath.Join(p.dataDir, "log"), garbage); err != nil {
+			f.deployment.t.Errorf("append to the log of %s: %v", p.name, err)
 		}
 	})
 }
 
-// appendToLog writes behind the newest file of a log; a folder without one is left alone.
+// appendToLog appends to the newest log file in the folder, if there is one.
 func appendToLog(folder string, garbage []byte) error {
 	files, err := filepath.Glob(filepath.Join(folder, "log-*"))
 	if err != nil || len(files) == 0 {
@@ -303,106 +308,108 @@
 	return file.Close()
 }
 
-func (f *faults) link(mode proxyMode) {
-	p := f.control()
-	p.touch()
-	p.link.set(mode)
-	f.later(f.long(), func() { p.link.set(passing) })
+func (f *faultInjector) impairLink(mode proxyMode) {
+	p := f.randomControl()
+	p.recordFault()
+	p.linkProxy.setMode(mode)
+	f.schedule(f.longDuration(), func() { p.linkProxy.setMode(modeForward) })
 }
 
-// readBehindCut cuts a control instance off for longer than an acknowledged document may take, and then reads there.
-func (f *faults) readBehindCut() {
+// readDuringPartition partitions a control instance for longer than staleReadLimit and then reads from it, to find stale
+// reads.
+func (f *faultInjector) readDuringPartition() {
 	const reads, pause = 6, 200 * time.Millisecond
-	p := f.control()
-	p.touch()
-	p.link.set(silent)
+	p := f.randomControl()
+	p.recordFault()
+	p.linkProxy.setMode(modeBlock)
 	for i := range reads {
-		f.later(staleBound+time.Second+time.Duration(i)*pause, func() { f.traffic.read(p) })
+		f.schedule(staleReadLimit+time.Second+time.Duration(i)*pause, func() { f.traffic.readDocument(p) })
 	}
-	f.later(staleBound+time.Second+reads*pause, func() { p.link.set(passing) })
+	f.schedule(staleReadLimit+time.Second+reads*pause, func() { p.linkProxy.setMode(modeForward) })
 }
 
-// leaf picks a leaf, half of the time one whose requests must not run twice.
-func (f *faults) leaf() *leaf {
-	leafs := f.stage.fleet.all()
-	if once := f.stage.fleet.of("once"); len(once) > 0 && f.random.IntN(2) == 0 {
-		leafs = once
+// randomLeaf picks a leaf, half of the time one whose requests must be executed at most once.
+func (f *faultInjector) randomLeaf() *leaf {
+	leafs := f.deployment.fleet.all()
+	if nonIdempotent := f.deployment.fleet.byService("once"); len(nonIdempotent) > 0 && f.random.IntN(2) == 0 {
+		leafs = nonIdempotent
 	}
 	return leafs[f.random.IntN(len(leafs))]
 }
 
-// crashLeaf ends a leaf; its address goes to a leaf of another service, and a new one takes its place.
-func (f *faults) crashLeaf() {
-	gone := f.leaf()
-	address := f.stage.fleet.remove(gone)
-	f.replace(gone)
-	other := shardNames[f.random.IntN(len(shardNames))]
-	_, _ = f.stage.fleet.add(other, gone.zone, address)
+// crashLeaf stops a leaf, starts a replacement and starts a leaf of a random service on the old address, so that requests to
+// that address can reach the wrong leaf.
+func (f *faultInjector) crashLeaf() {
+	removed := f.randomLeaf()
+	address := f.deployment.fleet.remove(removed)
+	f.startReplacement(removed)
+	service := shardNames[f.random.IntN(len(shardNames))]
+	_, _ = f.deployment.fleet.add(service, removed.zone, address)
 }
 
-// leafLeaves marks a leaf as leaving, and ends it some seconds later.
-func (f *faults) leafLeaves() {
-	gone := f.leaf()
-	f.replace(gone)
-	gone.leave()
-	f.later(drainBound+2*time.Second, func() { f.stage.fleet.remove(gone) })
+// drainLeaf starts a replacement of a leaf, marks the leaf as draining and stops it 2 s after drainLimit.
+func (f *faultInjector) drainLeaf() {
+	drained := f.randomLeaf()
+	f.startReplacement(drained)
+	drained.drain()
+	f.schedule(drainLimit+2*time.Second, func() { f.deployment.fleet.remove(drained) })
 }
 
-func (f *faults) replace(gone *leaf) {
-	if _, err := f.stage.fleet.add(gone.service, gone.zone, ""); err != nil {
-		f.stage.t.Errorf("replace a leaf: %v", err)
+func (f *faultInjector) startReplacement(replaced *leaf) {
+	if _, err := f.deployment.fleet.add(replaced.service, replaced.zone, ""); err != nil {
+		f.deployment.t.Errorf("replace a leaf: %v", err)
 	}
 }
 
-func (f *faults) leafMisbehaves() {
-	l := f.leaf()
-	l.fail([]string{"shed", "slow", "hang", "lose", "fail", "truncate"}[f.random.IntN(6)])
-	f.later(f.short(), func() { l.fail("") })
+func (f *faultInjector) makeLeafFail() {
+	l := f.randomLeaf()
+	l.setFault([]string{"shed", "slow", "hang", "lose", "fail", "truncate"}[f.random.IntN(6)])
+	f.schedule(f.shortDuration(), func() { l.setFault("") })
 }
 
-// endlessLeafs lets all leafs of a shard send bodies without end.
-func (f *faults) endlessLeafs() {
-	leafs := f.stage.fleet.of(shardNames[f.random.IntN(len(shardNames))])
+// makeLeafsEndless makes all leafs of a shard send bodies that never end.
+func (f *faultInjector) makeLeafsEndless() {
+	leafs := f.deployment.fleet.byService(shardNames[f.random.IntN(len(shardNames))])
 	for _, l := range leafs {
-		l.fail("endless")
+		l.setFault("endless")
 	}
-	f.later(f.short(), func() {
+	f.schedule(f.shortDuration(), func() {
 		for _, l := range leafs {
-			l.fail("")
+			l.setFault("")
 		}
 	})
 }
 
-func (f *faults) leafLink() {
-	l := f.leaf()
+func (f *faultInjector) impairLeafLink() {
+	l := f.randomLeaf()
 	if f.random.IntN(3) == 0 {
-		l.proxy.reset()
+		l.proxy.resetConnections()
 		return
 	}
-	l.proxy.set([]proxyMode{silent, deafIn, deafOut, delaying}[f.random.IntN(4)])
-	f.later(f.short(), func() { l.proxy.set(passing) })
+	l.proxy.setMode([]proxyMode{modeBlock, modeBlockRequests, modeBlockResponses, modeDelay}[f.random.IntN(4)])
+	f.schedule(f.shortDuration(), func() { l.proxy.setMode(modeForward) })
 }
 
-// takeOut takes a data centre out, or takes the one that is out back in.
-func (f *faults) takeOut() {
-	p := f.control()
-	if f.out != "" {
-		if f.traffic.post(p, "/-/Evacuations.End/"+f.out, "") {
-			f.stage.judge.onOut(f.out, false)
-			f.out = ""
+// toggleDataCentre takes a data centre out of service, or puts the one that is out of service back.
+func (f *faultInjector) toggleDataCentre() {
+	p := f.randomControl()
+	if f.outOfServiceZone != "" {
+		if f.traffic.post(p, "/-/Evacuations.End/"+f.outOfServiceZone, "") {
+			f.deployment.checker.recordOutOfService(f.outOfServiceZone, false)
+			f.outOfServiceZone = ""
 		}
 		return
 	}
 	zone := string("abc"[f.random.IntN(3)])
 	if f.traffic.post(p, "/-/Evacuations.Start/"+zone, "") {
-		f.stage.judge.onOut(zone, true)
-		f.out = zone
+		f.deployment.checker.recordOutOfService(zone, true)
+		f.outOfServiceZone = zone
 	}
 }
 
-func (f *faults) storm() {
+func (f *faultInjector) putManyDocuments() {
 	for range 5 + f.random.IntN(15) {
-		if !f.traffic.put(f.random) {
+		if !f.traffic.putDocument(f.random) {
 			return
 		}
 	}
--- a/soak/stage_test.go
+++ b/soak/stage_test.go
@@ -19,83 +19,83 @@
 const (
 	controlCount = 5
 	entryCount   = 3
-	// graceTime is the time between SIGTERM and SIGKILL.
-	graceTime = 4 * time.Second
-	// restartPause is the time between the end of a process and its next start.
+	// gracePeriod is the time between SIGTERM and SIGKILL.
+	gracePeriod = 4 * time.Second
+	// restartPause is the time between the exit of a process and its next start.
 	restartPause = 100 * time.Millisecond
-	// memoryMB is the memory of the smallest entry instances today, in MiB.
-	memoryMB = 184
+	// memoryLimitMiB is the memory of the smallest entry instances.
+	memoryLimitMiB = 184
 )
 
-var quietLog = log.New(io.Discard, "", 0)
+var discardLog = log.New(io.Discard, "", 0)
 
 type (
-	// process is one instance that the stage keeps running.
+	// process is one instance, which the deployment restarts whenever it exits.
 	process struct {
-		name     string
-		verb     string
-		settings string
-		folder   string
-		host     string
-		link     *proxy
-		front    string
-		ready    string
-		control  string
-		mu       sync.Mutex
-		command  *exec.Cmd
-		boots    int
-		stopping time.Time
-		touched  time.Time
-		closed   bool
-		ended    chan bool
-		// whileDown is done once, between the end of one run and the start of the next.
-		whileDown []func()
+		name             string
+		subcommand       string
+		settingsPath     string
+		dataDir          string
+		host             string
+		linkProxy        *proxy
+		frontAddress     string
+		readinessAddress string
+		controlAddress   string
+		mu               sync.Mutex
+		command          *exec.Cmd
+		runCount         int
+		terminatedAt     time.Time
+		lastFaultAt      time.Time
+		isShutDown       bool
+		ended            chan bool
+		// pendingActions are run once, between the exit of the process and its next start.
+		pendingActions []func()
 	}
 
-	// stage is a whole deployment on loopback addresses.
-	stage struct {
+	// deployment runs the instances of a whole deployment on loopback addresses.
+	deployment struct {
 		t         *testing.T
 		folder    string
 		binary    string
-		network   int
-		port      int
+		subnet    int
+		linkPort  int
 		fleet     *fleet
-		judge     *judge
+		checker   *checker
 		processes []*process
 		seeds     []string
 	}
 )
 
-func newStage(t *testing.T, binary string, network int, j *judge) *stage {
+func newDeployment(t *testing.T, binary string, subnet int, c *checker) *deployment {
 	t.Helper()
-	s := &stage{t: t, folder: t.TempDir(), binary: binary, network: network, judge: j}
+	d := &deployment{t: t, folder: t.TempDir(), binary: binary, subnet: subnet, checker: c}
 	var err error
-	if s.fleet, err = newFleet(j); err != nil {
+	if d.fleet, err = newFleet(c); err != nil {
 		t.Fatal(err)
 	}
-	s.port = freePort(t, s.hostOf(0))
+	d.linkPort = freePort(t, d.hostAddress(0))
 	for i := range controlCount + entryCount {
-		s.processes = append(s.processes, s.newProcess(i))
+		d.processes = append(d.processes, d.newProcess(i))
 	}
-	for _, p := range s.processes {
-		s.writeSettings(p, true)
+	for _, p := range d.processes {
+		d.writeSettings(p, true)
 	}
-	return s
+	return d
 }
 
-// addLeafs starts three leafs of each service, one a data centre.
-func (s *stage) addLeafs(services []string) {
-	s.t.Helper()
+// addLeafs starts three leafs of each service, one in each data centre.
+func (d *deployment) addLeafs(services []string) {
+	d.t.Helper()
 	for _, name := range services {
-		for k := range 3 {
-			if _, err := s.fleet.add(name, string("abc"[k]), ""); err != nil {
-				s.t.Fatal(err)
+		for i := range 3 {
+			if _, err := d.fleet.add(name, string("abc"[i]), ""); err != nil {
+				d.t.Fatal(err)
 			}
 		}
 	}
 }
 
-func (s *stage) hostOf(i int) string { return fmt.Sprintf("127.0.%d.%d", s.network, i+1) }
+func (d *deployment) hostAddress(i int) string { return fmt.Sprintf("127.0.%d.%d", d.subnet, i+1) }
 
 func freePort(t *testing.T, host string) int {
 	t.Helper()
@@ -107,83 +107,83 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-func (s *stage) newProcess(i int) *process {
-	host := s.hostOf(i)
-	address := func() string { return fmt.Sprintf("%s:%d", host, freePort(s.t, host)) }
+func (d *deployment) newProcess(i int) *process {
+	host := d.hostAddress(i)
+	address := func() string { return fmt.Sprintf("%s:%d", host, freePort(d.t, host)) }
 	if i >= controlCount {
-		return &process{name: fmt.Sprint("entry-", i-controlCount+1), verb: "entry", host: host, front: address(), ready: address()}
+		return &process{name: fmt.Sprint("entry-", i-controlCount+1), subcommand: "entry", host: host, frontAddress: address(), readinessAddress: address()}
 	}
-	p := &process{name: fmt.Sprint("control-", i+1), verb: "control", host: host, control: address(), folder: filepath.Join(s.folder, fmt.Sprint("disk-", i))}
+	p := &process{name: fmt.Sprint("control-", i+1), subcommand: "control", host: host, controlAddress: address(), dataDir: filepath.Join(d.folder, fmt.Sprint("disk-", i))}
 	var err error
-	if p.link, err = newProxy(fmt.Sprintf("%s:%d", host, s.port), fmt.Sprintf("127.0.%d.%d:%d", s.network+100, i+1, s.port)); err != nil {
-		s.t.Fatal(err)
+	if p.linkProxy, err = newProxy(fmt.Sprintf("%s:%d", host, d.linkPort), fmt.Sprintf("127.0.%d.%d:%d", d.subnet+100, i+1, d.linkPort)); err != nil {
+		d.t.Fatal(err)
 	}
 	if i < 3 {
-		s.seeds = append(s.seeds, fmt.Sprintf("%s:%d", host, s.port))
+		d.seeds = append(d.seeds, fmt.Sprintf("%s:%d", host, d.linkPort))
 	}
 	return p
 }
 
-func (s *stage) writeSettings(p *process, bootstrap bool) {
+func (d *deployment) writeSettings(p *process, bootstrap bool) {
 	listen := map[string]string{}
 	var dataDir any
-	if p.verb == "control" {
-		listen["control"], listen["links"], dataDir = p.control, p.link.target, p.folder
-		if err := os.MkdirAll(p.folder, 0o700); err != nil {
-			s.t.Fatal(err)
+	if p.subcommand == "control" {
+		listen["control"], listen["links"], dataDir = p.controlAddress, p.linkProxy.target, p.dataDir
+		if err := os.MkdirAll(p.dataDir, 0o700); err != nil {
+			d.t.Fatal(err)
 		}
 	} else {
-		listen["front"], listen["readiness"] = p.front, p.ready
+		listen["front"], listen["readiness"] = p.frontAddress, p.readinessAddress
 	}
 	zone := string("abc"[len(p.name)*7%3])
 	content, err := json.Marshal(map[string]any{
-		"nodeName": p.name, "ip": p.host, "zone": zone, "listen": listen, "internalPortRange": []int{s.port, 0},
-		"seeds": s.seeds, "bootstrap": bootstrap, "dataDir": dataDir, "faultTolerance": map[string]int{"machines": 2},
-		"bounds":   map[string]any{"graceS": graceTime.Seconds(), "retryBudgetRatio": 0.2, "retryBudgetSlack": 54, "budgetWindowS": 10},
+		"nodeName": p.name, "ip": p.host, "zone": zone, "listen": listen, "internalPortRange": []int{d.linkPort, 0},
+		"seeds": d.seeds, "bootstrap": bootstrap, "dataDir": dataDir, "faultTolerance": map[string]int{"machines": 2},
+		"bounds":   map[string]any{"graceS": gracePeriod.Seconds(), "retryBudgetRatio": 0.2, "retryBudgetSlack": 54, "budgetWindowS": 10},
 		"zones":    map[string]string{"a": "r", "b": "r", "c": "r"},
-		"cloudApi": map[string]any{"address": s.fleet.at, "ratePerS": 42}, "limits": map[string]any{"memoryMb": memoryMB},
+		"cloudApi": map[string]any{"address": d.fleet.listAddress, "ratePerS": 42}, "limits": map[string]any{"memoryMb": memoryLimitMiB},
 	})
 	if err != nil {
-		s.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	p.settings = filepath.Join(s.folder, p.name+".json")
-	if err := os.WriteFile(p.settings, content, 0o600); err != nil {
-		s.t.Fatal(err)
+	p.settingsPath = filepath.Join(d.folder, p.name+".json")
+	if err := os.WriteFile(p.settingsPath, content, 0o600); err != nil {
+		d.t.Fatal(err)
 	}
 }
 
-func (s *stage) start() {
-	for _, p := range s.processes {
+func (d *deployment) start() {
+	for _, p := range d.processes {
 		p.ended = make(chan bool)
-		go s.keepRunning(p)
+		go d.supervise(p)
 	}
 }
 
-// keepRunning starts the process again whenever it ends.
-func (s *stage) keepRunning(p *process) {
+// supervise starts the process and restarts it whenever it exits, until the deployment is closed.
+func (d *deployment) supervise(p *process) {
 	defer close(p.ended)
 	for {
-		output, err := os.OpenFile(filepath.Join(s.folder, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		output, err := os.OpenFile(filepath.Join(d.folder, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
-			s.t.Errorf("log of %s: %v", p.name, err)
+			d.t.Errorf("open the log file of %s: %v", p.name, err)
 			return
 		}
-		command := exec.Command(s.binary, p.verb)
-		command.Env = []string{"LOVAGEDECK_CONFIG=" + p.settings, "GOMAXPROCS=1"}
+		command := exec.Command(d.binary, p.subcommand)
+		command.Env = []string{"LOVAGEDECK_CONFIG=" + p.settingsPath, "GOMAXPROCS=1"}
 		command.Stdout, command.Stderr = output, output
 		p.mu.Lock()
-		if p.closed {
+		if p.isShutDown {
 			p.mu.Unlock()
 			_ = output.Close()
 			return
 		}
-		p.runWhileDown()
+		p.runPendingActions()
 		err = command.Start()
-		p.command, p.stopping, p.touched = command, time.Time{}, time.Now()
-		p.boots++
+		p.command, p.terminatedAt, p.lastFaultAt = command, time.Time{}, time.Now()
+		p.runCount++
 		p.mu.Unlock()
 		if err != nil {
-			s.t.Errorf("start %s: %v", p.name, err)
+			d.t.Errorf("start %s: %v", p.name, err)
 			return
 		}
 		_ = command.Wait()
@@ -192,44 +192,45 @@
 	}
 }
 
-func (s *stage) close() {
-	for _, p := range s.processes {
+func (d *deployment) close() {
+	for _, p := range d.processes {
 		p.mu.Lock()
-		p.closed = true
+		p.isShutDown = true
 		p.mu.Unlock()
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 	}
-	for _, p := range s.processes {
+	for _, p := range d.processes {
 		<-p.ended
-		if p.link != nil {
-			p.link.close()
+		if p.linkProxy != nil {
+			p.linkProxy.close()
 		}
 	}
-	s.fleet.close()
+	d.fleet.close()
 }
 
-// signal reaches only the process that the stage started last under this name.
-func (p *process) signal(signal syscall.Signal) {
+// signal sends a signal to the current run of the process. It does nothing before the first start.
+func (p *process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil || p.command.Process == nil {
 		return
 	}
-	_ = p.command.Process.Signal(signal)
-	p.touched = time.Now()
-	if signal == syscall.SIGTERM {
-		p.stopping = time.Now()
+	_ = p.command.Process.Signal(sig)
+	p.lastFaultAt = time.Now()
+	if sig == syscall.SIGTERM {
+		p.terminatedAt = time.Now()
 	}
 }
 
-// killAnd kills the process, does the work after its proved end and before its next start, and returns once it is done.
-func (p *process) killAnd(work func()) {
+// killThen kills the process, runs the action after the process was reaped and before its next start, and returns when the
+// action has run or the process is no longer restarted.
+func (p *process) killThen(action func()) {
 	done := make(chan bool)
 	p.mu.Lock()
-	p.whileDown = append(p.whileDown, func() {
+	p.pendingActions = append(p.pendingActions, func() {
 		defer close(done)
-		work()
+		action()
 	})
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
@@ -239,53 +240,53 @@
 	}
 }
 
-// runWhileDown does what waits for the process to be down; the caller holds the lock, so that no run has begun.
-func (p *process) runWhileDown() {
-	for _, work := range p.whileDown {
-		work()
+// runPendingActions runs the pending actions while the process is down. The caller holds p.mu, so no new run can start.
+func (p *process) runPendingActions() {
+	for _, action := range p.pendingActions {
+		action()
 	}
-	p.whileDown = nil
+	p.pendingActions = nil
 }
 
-// touch notes a fault beside the process, such as one of its connections.
-func (p *process) touch() {
+// recordFault records a fault that is not a signal, such as one of the connections of the process.
+func (p *process) recordFault() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.touched = time.Now()
+	p.lastFaultAt = time.Now()
 }
 
-// boot names the present run of the process.
-func (p *process) boot() string {
+// runName returns a name of the current run of the process, which differs between runs.
+func (p *process) runName() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return fmt.Sprintf("%s run %d", p.name, p.boots)
+	return fmt.Sprintf("%s run %d", p.name, p.runCount)
 }
 
-// isStopping tells whether the process was asked to stop and has its grace.
-func (p *process) isStopping() bool {
+// isTerminating reports whether the process got SIGTERM and its grace period has not ended.
+func (p *process) isTerminating() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.stopping.IsZero() && time.Since(p.stopping) < graceTime
+	return !p.terminatedAt.IsZero() && time.Since(p.terminatedAt) < gracePeriod
 }
 
-// calmFor tells how long nothing was done to the process.
-func (p *process) calmFor() time.Duration {
+// timeSinceFault returns the time since the last signal, start or recorded fault of the process.
+func (p *process) timeSinceFault() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.touched)
+	return time.Since(p.lastFaultAt)
 }
 
-func (s *stage) controls() []*process { return s.processes[:controlCount] }
+func (d *deployment) controls() []*process { return d.processes[:controlCount] }
 
-func (s *stage) entries() []*process { return s.processes[controlCount:] }
+func (d *deployment) entries() []*process { return d.processes[controlCount:] }
 
 // awaitReady waits until every entry instance is ready.
-func (s *stage) awaitReady(limit time.Duration) error {
-	deadline := time.Now().Add(limit)
-	for _, p := range s.entries() {
+func (d *deployment) awaitReady(timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for _, p := range d.entries() {
 		for !isReady(p) {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s is not ready after %v", p.name, limit)
+				return fmt.Errorf("%s is not ready after %v", p.name, timeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -295,7 +296,7 @@
 
 func isReady(p *process) bool {
 	client := http.Client{Timeout: time.Second}
-	response, err := client.Get("http://" + p.ready + "/-/ready")
+	response, err := client.Get("http://" + p.readinessAddress + "/-/ready")
 	if err != nil {
 		return false
 	}
--- a/soak/traffic_test.go
+++ b/soak/traffic_test.go
@@ -13,53 +13,53 @@
 )
 
 const (
-	callersPerEntry = 4
-	callPause       = 25 * time.Millisecond
-	callTime        = 1500 * time.Millisecond
-	operatorPause   = 250 * time.Millisecond
-	ackTime         = 5 * time.Second
-	top             = 9
-	plainHost       = "plain.example"
+	callersPerEntry   = 4
+	meanCallPause     = 25 * time.Millisecond
+	callTimeout       = 1500 * time.Millisecond
+	meanOperatorPause = 250 * time.Millisecond
+	putTimeout        = 5 * time.Second
+	topK              = 9
+	plainHost         = "plain.example"
 )
 
 var shardNames = []string{"s1", "s2", "s3", "s4", "s5", "s6"}
 
 type (
-	// traffic is the callers and the operator of one run.
+	// traffic runs the callers and the operator of one test run.
 	traffic struct {
-		stage *stage
-		// shards are the services of a query.
-		shards  []string
-		seed    uint64
-		stop    chan bool
-		group   sync.WaitGroup
-		mu      sync.Mutex
-		lastID  int
-		version uint64
-		bodies  map[uint64]string
+		deployment *deployment
+		// shards are the services that a query is fanned out to.
+		shards      []string
+		seed        uint64
+		stop        chan bool
+		workers     sync.WaitGroup
+		mu          sync.Mutex
+		lastID      int
+		lastVersion uint64
+		documents   map[uint64]string
 	}
 )
 
-func newTraffic(s *stage, seed uint64) *traffic {
-	return &traffic{stage: s, shards: shardNames, seed: seed, stop: make(chan bool), bodies: map[uint64]string{}}
+func newTraffic(d *deployment, seed uint64) *traffic {
+	return &traffic{deployment: d, shards: shardNames, seed: seed, stop: make(chan bool), documents: map[uint64]string{}}
 }
 
 func (tr *traffic) start() {
-	for i, p := range tr.stage.entries() {
+	for i, p := range tr.deployment.entries() {
 		for k := range callersPerEntry {
 			random := rand.New(rand.NewPCG(tr.seed, uint64(i*100+k)))
-			tr.group.Go(func() { tr.call(p, random) })
+			tr.workers.Go(func() { tr.runCaller(p, random) })
 		}
 	}
-	tr.group.Go(tr.operate)
+	tr.workers.Go(tr.runOperator)
 }
 
-func (tr *traffic) end() {
+func (tr *traffic) finish() {
 	close(tr.stop)
-	tr.group.Wait()
+	tr.workers.Wait()
 }
 
-func (tr *traffic) stopped() bool {
+func (tr *traffic) isStopped() bool {
 	select {
 	case <-tr.stop:
 		return true
@@ -75,80 +75,81 @@
 	return fmt.Sprintf("r%d-%06d", tr.seed, tr.lastID)
 }
 
-// call keeps one connection and uses it until the process is gone.
-func (tr *traffic) call(p *process, random *rand.Rand) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: callTime + time.Second}
+// runCaller sends requests of random kinds over one kept connection until the traffic stops.
+func (tr *traffic) runCaller(p *process, random *rand.Rand) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: callTimeout + time.Second}
 	defer client.CloseIdleConnections()
-	for !tr.stopped() {
+	for !tr.isStopped() {
 		switch random.IntN(10) {
 		case 0:
-			tr.probe(client, p)
+			tr.probeVersionInUse(client, p)
 		case 1, 2, 3:
-			tr.request(client, p, "POST", "/once/", nil, true, random)
+			tr.sendRequest(client, p, "POST", "/once/", nil, true, random)
 		case 4:
-			tr.request(client, p, "GET", "/safe/", nil, false, random)
+			tr.sendRequest(client, p, "GET", "/safe/", nil, false, random)
 		default:
-			tr.request(client, p, "GET", "/sweep/", tr.shards, false, random)
+			tr.sendRequest(client, p, "GET", "/sweep/", tr.shards, false, random)
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(2 * callPause))))
+		time.Sleep(time.Duration(random.Int64N(int64(2 * meanCallPause))))
 	}
 }
 
-func (tr *traffic) request(client *http.Client, p *process, method, path string, shards []string, once bool, random *rand.Rand) {
+func (tr *traffic) sendRequest(client *http.Client, p *process, method, path string, shards []string, atMostOnce bool, random *rand.Rand) {
 	id := tr.newID()
 	target := fmt.Sprintf("%s%d%%2Fx/../y?q=%d", path, random.IntN(1000), random.IntN(1000))
 	var body []byte
-	if once {
+	if atMostOnce {
 		body = bytes.Repeat([]byte{byte('a' + random.IntN(26))}, random.IntN(20_000))
 	}
 	services := shards
 	if shards == nil {
 		services = []string{strings.Trim(path, "/")}
 	}
-	sent := sentRequest{method: method, target: target, body: body, once: once, services: services}
-	tr.stage.judge.onSend(id, sent)
-	request, err := http.NewRequest(method, "http://"+p.front+target, bytes.NewReader(body))
+	sent := sentRequest{method: method, target: target, body: body, atMostOnce: atMostOnce, services: services}
+	tr.deployment.checker.recordRequest(id, sent)
+	request, err := http.NewRequest(method, "http://"+p.frontAddress+target, bytes.NewReader(body))
 	if err != nil {
-		tr.stage.t.Errorf("build a request: %v", err)
+		tr.deployment.t.Errorf("create a request: %v", err)
 		return
 	}
-	// The target goes out byte for byte.
-	request.URL = &url.URL{Scheme: "http", Host: p.front, Opaque: target}
+	// Opaque sends the target unchanged; the URL would otherwise be normalized.
+	request.URL = &url.URL{Scheme: "http", Host: p.frontAddress, Opaque: target}
 	request.Host = plainHost
 	request.Header.Set("X-Lovagedeck-Request-Id", id)
-	request.Header.Set("X-Lovagedeck-Deadline-Ms", fmt.Sprint(callTime.Milliseconds()))
+	request.Header.Set("X-Lovagedeck-Deadline-Ms", fmt.Sprint(callTimeout.Milliseconds()))
 	response, err := client.Do(request)
 	if err != nil {
-		tr.stage.judge.onLost()
+		tr.deployment.checker.countFailure()
 		return
 	}
 	content, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	if err != nil {
-		if p.isStopping() && p.calmFor() < graceTime {
-			tr.stage.judge.onCut(id, err)
+		if p.isTerminating() && p.timeSinceFault() < gracePeriod {
+			tr.deployment.checker.reportTruncatedResponse(id, err)
 		}
 		return
 	}
-	tr.stage.judge.onAnswer(id, sent, shards, minParts, top, response, content)
+	tr.deployment.checker.checkResponse(id, sent, shards, minParts, topK, response, content)
 }
 
 const minParts = 4
 
-// probe asks for the route that only one version of the document has.
-func (tr *traffic) probe(client *http.Client, p *process) {
+// probeVersionInUse finds out which version of the document an entry instance uses, by requests to routes that exist in one
+// version only.
+func (tr *traffic) probeVersionInUse(client *http.Client, p *process) {
 	tr.mu.Lock()
-	newest := tr.version
+	newest := tr.lastVersion
 	tr.mu.Unlock()
 	for version := newest; version > 0 && version+3 > newest; version-- {
-		boot := p.boot()
-		request, err := http.NewRequest(http.MethodGet, "http://"+p.front+"/probe/", nil)
+		runName := p.runName()
+		request, err := http.NewRequest(http.MethodGet, "http://"+p.frontAddress+"/probe/", nil)
 		if err != nil {
 			return
 		}
 		request.Host = fmt.Sprintf("v%d.example", version)
 		id := tr.newID()
-		tr.stage.judge.onSend(id, sentRequest{method: "GET", target: "/probe/", services: []string{"safe"}})
+		tr.deployment.checker.recordRequest(id, sentRequest{method: "GET", target: "/probe/", services: []string{"safe"}})
 		request.Header.Set("X-Lovagedeck-Request-Id", id)
 		request.Header.Set("X-Lovagedeck-Deadline-Ms", "300")
 		response, err := client.Do(request)
@@ -157,8 +158,8 @@
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
-		if response.StatusCode == http.StatusOK && boot == p.boot() {
-			tr.stage.judge.onActed(boot, version)
+		if response.StatusCode == http.StatusOK && runName == p.runName() {
+			tr.deployment.checker.checkVersionInUse(runName, version)
 			return
 		}
 	}
@@ -179,33 +180,34 @@
 	return fmt.Sprintf(`{"version":%d,"routes":[%s,%s,%s,%s],"services":[%s],"limits":{"maxBodyBytes":262144}}`, version,
 		route("once", plainHost, "/once/", "unsafe", `"service":"once"`),
 		route("safe", plainHost, "/safe/", "safe", `"service":"safe"`),
-		route("sweep", plainHost, "/sweep/", "safe", fmt.Sprintf(`"fanoutServices":[%s],"topK":%d,"minCoverage":0.6`, shards[:len(shards)-1], top)),
+		route("sweep", plainHost, "/sweep/", "safe", fmt.Sprintf(`"fanoutServices":[%s],"topK":%d,"minCoverage":0.6`, shards[:len(shards)-1], topK)),
 		route("probe", fmt.Sprintf("v%d.example", version), "/probe/", "safe", `"service":"safe"`),
 		services[:len(services)-1])
 }
 
-// operate changes the document again and again, at any control instance, and reads it back.
-func (tr *traffic) operate() {
+// runOperator repeatedly changes the document and reads it back, each at a random control instance.
+func (tr *traffic) runOperator() {
 	random := rand.New(rand.NewPCG(tr.seed, 999))
-	for !tr.stopped() {
-		tr.put(random)
-		tr.read(tr.stage.controls()[random.IntN(controlCount)])
-		time.Sleep(time.Duration(random.Int64N(int64(2 * operatorPause))))
+	for !tr.isStopped() {
+		tr.putDocument(random)
+		tr.readDocument(tr.deployment.controls()[random.IntN(controlCount)])
+		time.Sleep(time.Duration(random.Int64N(int64(2 * meanOperatorPause))))
 	}
 }
 
-// put sends the next version until it is acknowledged, to one instance after the other.
-func (tr *traffic) put(random *rand.Rand) bool {
+// putDocument sends the next version to random control instances until one acknowledges it, and reports whether one did
+// within putTimeout.
+func (tr *traffic) putDocument(random *rand.Rand) bool {
 	tr.mu.Lock()
-	tr.version += 1 + random.Uint64N(3)
-	version := tr.version
+	tr.lastVersion += 1 + random.Uint64N(3)
+	version := tr.lastVersion
 	body := tr.document(version)
-	tr.bodies[version] = body
+	tr.documents[version] = body
 	tr.mu.Unlock()
-	begun := time.Now()
-	for time.Since(begun) < ackTime && !tr.stopped() {
-		if tr.post(tr.stage.controls()[random.IntN(controlCount)], "/-/Config.Put", body) {
-			tr.stage.judge.onAck(version)
+	startedAt := time.Now()
+	for time.Since(startedAt) < putTimeout && !tr.isStopped() {
+		if tr.post(tr.deployment.controls()[random.IntN(controlCount)], "/-/Config.Put", body) {
+			tr.deployment.checker.recordAcknowledgement(version)
 			return true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -215,22 +217,23 @@
 
 func (tr *traffic) post(p *process, path, body string) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Post("http://"+p.control+path, "application/json", bytes.NewReader([]byte(body)))
+	response, err := client.Post("http://"+p.controlAddress+path, "application/json", bytes.NewReader([]byte(body)))
 	if err != nil {
 		return false
 	}
 	_ = response.Body.Close()
 	if response.StatusCode >= 400 && response.StatusCode < 500 {
-		tr.stage.t.Errorf("%s refused a proper order %s with %d", p.name, path, response.StatusCode)
+		tr.deployment.t.Errorf("%s answered the valid request %s with status %d", p.name, path, response.StatusCode)
 	}
 	return response.StatusCode == http.StatusOK
 }
 
-// read checks that an instance that answers knows what was acknowledged a while ago, as it was sent.
-func (tr *traffic) read(p *process) (version uint64, answered bool) {
-	atLeast := tr.stage.judge.oldestAllowed(staleBound)
+// readDocument reads the document from an instance. If it answers, the content must be as sent, and the version must not be
+// older than any acknowledged staleReadLimit ago or earlier.
+func (tr *traffic) readDocument(p *process) (version uint64, answered bool) {
+	minVersion := tr.deployment.checker.minVersionToRead(staleReadLimit)
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Get("http://" + p.control + "/-/Config.Get")
+	response, err := client.Get("http://" + p.controlAddress + "/-/Config.Get")
 	if err != nil {
 		return 0, false
 	}
@@ -241,11 +244,11 @@
 	}
 	_, _ = fmt.Sscanf(string(content), `{"version":%d`, &version)
 	tr.mu.Lock()
-	want := tr.bodies[version]
+	want := tr.documents[version]
 	tr.mu.Unlock()
 	if string(content) != want {
-		tr.stage.t.Errorf("%s reads version %d back with other content", p.name, version)
+		tr.deployment.t.Errorf("%s returned version %d with content that differs from what was sent", p.name, version)
 	}
-	tr.stage.judge.onRead(p.name, version, atLeast)
+	tr.deployment.checker.checkRead(p.name, version, minVersion)
 	return version, true
 }
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,18 +1,18 @@
 #!/bin/sh
-# Checks the specification of the core protocol exhaustively at small bounds,
-# and that the checker finds each variant without one of its guards wrong.
-# docs/SPECIFICATION.md says what is modelled.
+# Model-checks the specification of the core protocol exhaustively at small
+# bounds, and checks that each variant without one of the guards violates an
+# assertion. docs/SPECIFICATION.md describes the models.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
 if ! command -v spin >/dev/null || ! command -v gcc >/dev/null; then
-  echo "spin and gcc are missing; installing them" >&2
+  echo "spin or gcc is not installed; installing both" >&2
   apt-get update -qq && apt-get install -y -qq spin gcc >/dev/null
 fi
 
-# verify MODEL DEFINITIONS... leaves the checker's report in $work/report.
+# verify MODEL DEFINITIONS... writes the report of the model checker to $work/report.
 verify() {
   model=$1
   shift
@@ -26,45 +26,47 @@
   )
 }
 
-states() { grep "states, stored" "$work/report" | awk '{print $1}'; }
+state_count() { grep "states, stored" "$work/report" | awk '{print $1}'; }
 
-holds() {
+# expect_pass MODEL DEFINITIONS... fails unless the search is complete and finds no error.
+expect_pass() {
   verify "$@"
   if ! grep -q "errors: 0" "$work/report" || grep -q "max search depth too small\|out of memory" "$work/report"; then
-    echo "FAIL $*: the checker found an error or did not end"
+    echo "FAIL $*: the model checker found an error or did not finish"
     cat "$work/report"
     exit 1
   fi
-  echo "holds  $(states) states  $*"
+  echo "holds  $(state_count) states  $*"
 }
 
-wrong() {
+# expect_violation MODEL DEFINITIONS... fails unless an assertion is violated.
+expect_violation() {
   verify "$@"
   if ! grep -q "assertion violated" "$work/report"; then
-    echo "FAIL $*: the checker found nothing wrong without this guard"
+    echo "FAIL $*: the model checker found no violated assertion without this guard"
     exit 1
   fi
   echo "wrong, as it must be  $*"
 }
 
-holds log.pml -DTERMS=2 -DENTRIES=2
-holds log.pml -DTERMS=3 -DENTRIES=1
-holds log.pml -DTERMS=2 -DENTRIES=2 -DSNAPSHOTS
-holds log.pml -DTERMS=2 -DENTRIES=1 -DLOSSES=2
-holds log.pml -DTERMS=2 -DENTRIES=2 -DLOSSES=1
-wrong log.pml -DTERMS=3 -DENTRIES=1 -DNO_MAJORITY
-wrong log.pml -DTERMS=4 -DENTRIES=1 -DNO_TERM_CHECK
-wrong log.pml -DTERMS=3 -DENTRIES=1 -DNO_SYNC
-wrong log.pml -DTERMS=3 -DENTRIES=1 -DNO_VOTE_SYNC
-wrong log.pml -DTERMS=3 -DENTRIES=1 -DNO_LOG_CHECK
-wrong log.pml -DTERMS=3 -DENTRIES=1 -DLOSSES=2 -DFRESH_DISK_VOTES
-wrong log.pml -DTERMS=3 -DENTRIES=1 -DLOSSES=2 -DEARLY_VOTER
-wrong log.pml -DTERMS=2 -DENTRIES=2 -DNO_CHANGE_ID
-wrong log.pml -DTERMS=2 -DENTRIES=2 -DSNAPSHOTS -DSNAPSHOT_FORGETS
-holds lease.pml
-wrong lease.pml -DSTALE_CONFIRM
-wrong lease.pml -DLATE_COUNT
-wrong lease.pml -DNO_LEASE_CHECK
-wrong lease.pml -DEARLY_IN_FORCE
-wrong lease.pml -DNO_FENCE
-wrong lease.pml -DSHORT_FENCE
+expect_pass log.pml -DTERMS=2 -DENTRIES=2
+expect_pass log.pml -DTERMS=3 -DENTRIES=1
+expect_pass log.pml -DTERMS=2 -DENTRIES=2 -DSNAPSHOTS
+expect_pass log.pml -DTERMS=2 -DENTRIES=1 -DLOSSES=2
+expect_pass log.pml -DTERMS=2 -DENTRIES=2 -DLOSSES=1
+expect_violation log.pml -DTERMS=3 -DENTRIES=1 -DNO_MAJORITY
+expect_violation log.pml -DTERMS=4 -DENTRIES=1 -DNO_TERM_CHECK
+expect_violation log.pml -DTERMS=3 -DENTRIES=1 -DNO_SYNC
+expect_violation log.pml -DTERMS=3 -DENTRIES=1 -DNO_VOTE_SYNC
+expect_violation log.pml -DTERMS=3 -DENTRIES=1 -DNO_LOG_CHECK
+expect_violation log.pml -DTERMS=3 -DENTRIES=1 -DLOSSES=2 -DFRESH_DISK_VOTES
+expect_violation log.pml -DTERMS=3 -DENTRIES=1 -DLOSSES=2 -DEARLY_VOTER
+expect_violation log.pml -DTERMS=2 -DENTRIES=2 -DNO_CHANGE_ID
+expect_violation log.pml -DTERMS=2 -DENTRIES=2 -DSNAPSHOTS -DSNAPSHOT_FORGETS
+expect_pass lease.pml
+expect_violation lease.pml -DSTALE_CONFIRM
+expect_violation lease.pml -DLATE_COUNT
+expect_violation lease.pml -DNO_LEASE_CHECK
+expect_violation lease.pml -DEARLY_IN_FORCE
+expect_violation lease.pml -DNO_FENCE
+expect_violation lease.pml -DSHORT_FENCE
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,154 +1,154 @@
 /*
- * Leases on the table, and the fence around the ownership of a leaf.
+ * Leases on the table of the control instances, and the fencing delay that protects the ownership of a leaf.
  *
- * Time is kept as ages and remaining times, so there is no last moment. One control instance may be silently cut off with
- * an old table. Two entry instances renew leases; each renewal is sent, then
- * confirmed, then received, with any time in between. At some moment a change
- * is committed that takes a data centre out and moves a leaf from instance 0
- * to instance 1.
+ * Time is kept as ages and remaining times with upper bounds, so the state space is finite although time has no end.
+ * Control instance 1 may be partitioned without noticing it, and then has an old table. Two entry instances renew leases.
+ * Each renewal is sent, then confirmed, then its reply is received, with any time in between. At any moment, one change
+ * is committed that takes a data centre out of service and moves a leaf from entry instance 0 to entry instance 1.
  *
- * Variants, each of which the checker must find wrong:
- *   STALE_CONFIRM    a cut-off control instance answers from what it knows
- *   LATE_COUNT       the lease counts from the receipt of the reply
- *   NO_LEASE_CHECK   an instance acts without looking at its lease
- *   EARLY_IN_FORCE   a change is called in force before leases have run out
- *   NO_FENCE         a new owner starts as soon as it knows that it is one
- *   SHORT_FENCE      a new owner waits for one lease only, not for the work sent under it
+ * Variants, in each of which the checker must find a violated assertion:
+ *   STALE_CONFIRM    a partitioned control instance confirms renewals from its own table
+ *   LATE_COUNT       the lease counts from the receipt of the reply, not from the sending of the renewal
+ *   NO_LEASE_CHECK   an instance sends work without checking its lease
+ *   EARLY_IN_FORCE   a change is reported as in force before all older leases have expired
+ *   NO_FENCE         a new owner starts as soon as it learns that it is the owner
+ *   SHORT_FENCE      a new owner waits only for the old lease, not for the work sent under it
  */
 
 #define LEASE 2
-#define WORK 2                   /* the longest time that sent work runs */
+#define WORK_TIME 2              /* longest time that sent work runs */
 #ifdef SHORT_FENCE
 #define FENCE (LEASE)
 #else
-#define FENCE (LEASE + WORK)
+#define FENCE (LEASE + WORK_TIME)
 #endif
 #define NONE 255
 
-byte age = NONE;                 /* time since the change was committed, at most LEASE + 1 */
-bit known[2];                    /* what each control instance knows; 1 is the cut-off one */
+byte changeAge = NONE;           /* time since the change was committed, at most LEASE + 1 */
+bit controlHasChange[2];         /* whether each control instance has the change; 1 is partitioned and never gets it */
 
-/* One renewal under way for each entry instance. */
-byte sent[2] = NONE;             /* its age, at most LEASE */
-bit confirmed[2], carries[2];
+/* At most one renewal is outstanding for each entry instance. */
+byte renewalAge[2] = NONE;       /* time since it was sent, at most LEASE; NONE without one */
+bit isConfirmed[2], replyHasChange[2];
 
-bit view[2], joined[2];          /* whether an instance has the change, and has had any table */
-byte left[2];                    /* what is left of its lease */
-byte learnt[2];                  /* time since it learnt of the change, at most FENCE */
-bit acked[2];                    /* whether the control side has heard that the instance acts on the change */
-byte runs[2];                    /* how long the work that each instance sent to the leaf still runs */
-bit inForce;
+bit hasChange[2], hasTable[2];   /* whether an entry instance has the change, and has received any table */
+byte leaseLeft[2];               /* remaining time of its lease */
+byte sinceLearned[2];            /* time since it received the change, at most FENCE */
+bit isAcknowledged[2];           /* whether the control instances know that it applies the change */
+byte workLeft[2];                /* remaining run time of the work that it sent to the leaf */
+bit isInForce;
 
 #ifdef NO_LEASE_CHECK
-#define MAY_ACT(e) (joined[e])
+#define MAY_ACT(e) (hasTable[e])
 #else
-#define MAY_ACT(e) (joined[e] && left[e] > 0)
+#define MAY_ACT(e) (hasTable[e] && leaseLeft[e] > 0)
 #endif
 
-#define OWNS_OLD(e) ((e) == 0 && !view[0])
+#define IS_OLD_OWNER(e) ((e) == 0 && !hasChange[0])
 #ifdef NO_FENCE
-#define OWNS_NEW(e) ((e) == 1 && view[1])
+#define IS_NEW_OWNER(e) ((e) == 1 && hasChange[1])
 #else
-#define OWNS_NEW(e) ((e) == 1 && view[1] && learnt[1] >= FENCE)
+#define IS_NEW_OWNER(e) ((e) == 1 && hasChange[1] && sinceLearned[1] >= FENCE)
 #endif
 
-#define OLDER(x, cap) if :: x < cap -> x++ :: else fi
-#define SHORTER(x) if :: x > 0 -> x-- :: else fi
+#define INCREMENT(x, cap) if :: x < cap -> x++ :: else fi
+#define DECREMENT(x) if :: x > 0 -> x-- :: else fi
 
-inline tick() {
+inline advanceTime() {
 	d_step {
-		if :: age != NONE -> OLDER(age, LEASE + 1) :: else fi;
-		if :: sent[0] != NONE -> OLDER(sent[0], LEASE) :: else fi;
-		if :: sent[1] != NONE -> OLDER(sent[1], LEASE) :: else fi;
-		if :: view[0] -> OLDER(learnt[0], FENCE) :: else fi;
-		if :: view[1] -> OLDER(learnt[1], FENCE) :: else fi;
-		SHORTER(left[0]); SHORTER(left[1]);
-		SHORTER(runs[0]); SHORTER(runs[1])
+		if :: changeAge != NONE -> INCREMENT(changeAge, LEASE + 1) :: else fi;
+		if :: renewalAge[0] != NONE -> INCREMENT(renewalAge[0], LEASE) :: else fi;
+		if :: renewalAge[1] != NONE -> INCREMENT(renewalAge[1], LEASE) :: else fi;
+		if :: hasChange[0] -> INCREMENT(sinceLearned[0], FENCE) :: else fi;
+		if :: hasChange[1] -> INCREMENT(sinceLearned[1], FENCE) :: else fi;
+		DECREMENT(leaseLeft[0]); DECREMENT(leaseLeft[1]);
+		DECREMENT(workLeft[0]); DECREMENT(workLeft[1])
 	}
 }
 
 inline commitChange() {
-	d_step { age == NONE -> age = 0; known[0] = 1 }
+	d_step { changeAge == NONE -> changeAge = 0; controlHasChange[0] = 1 }
 }
 
 inline sendRenewal(e) {
 	d_step {
-		sent[e] == NONE -> sent[e] = 0; confirmed[e] = 0; carries[e] = 0;
+		renewalAge[e] == NONE -> renewalAge[e] = 0; isConfirmed[e] = 0; replyHasChange[e] = 0;
 		if
-		:: view[e] -> acked[e] = 1
+		:: hasChange[e] -> isAcknowledged[e] = 1
 		:: else
 		fi
 	}
 }
 
-/* A majority confirms: the reply carries what was committed when it was confirmed, after the renewal was sent. */
+/* A majority confirms the renewal after it was sent, so the reply carries everything committed up to the confirmation. */
 inline confirmFresh(e) {
-	d_step { sent[e] != NONE && !confirmed[e] -> confirmed[e] = 1; carries[e] = known[0] }
+	d_step { renewalAge[e] != NONE && !isConfirmed[e] -> isConfirmed[e] = 1; replyHasChange[e] = controlHasChange[0] }
 }
 
+/* A partitioned control instance confirms the renewal without a majority, so the reply carries its old table. */
 inline confirmStale(e) {
-	d_step { sent[e] != NONE && !confirmed[e] -> confirmed[e] = 1; carries[e] = known[1] }
+	d_step { renewalAge[e] != NONE && !isConfirmed[e] -> isConfirmed[e] = 1; replyHasChange[e] = controlHasChange[1] }
 }
 
-/* What an instance acts on only moves forward, since a reply can only add the change. */
+/* The table of an instance never goes back: a reply can add the change but not remove it. */
 inline receiveReply(e) {
 	d_step {
-		sent[e] != NONE && confirmed[e] ->
+		renewalAge[e] != NONE && isConfirmed[e] ->
 		if
-		:: carries[e] && !view[e] -> view[e] = 1; learnt[e] = 0
+		:: replyHasChange[e] && !hasChange[e] -> hasChange[e] = 1; sinceLearned[e] = 0
 		:: else
 		fi;
-		joined[e] = 1;
+		hasTable[e] = 1;
 #ifdef LATE_COUNT
-		left[e] = LEASE;
+		leaseLeft[e] = LEASE;
 #else
 		if
-		:: LEASE - sent[e] > left[e] -> left[e] = LEASE - sent[e]
+		:: LEASE - renewalAge[e] > leaseLeft[e] -> leaseLeft[e] = LEASE - renewalAge[e]
 		:: else
 		fi;
 #endif
-		sent[e] = NONE; confirmed[e] = 0; carries[e] = 0
+		renewalAge[e] = NONE; isConfirmed[e] = 0; replyHasChange[e] = 0
 	}
 }
 
 inline loseReply(e) {
-	d_step { sent[e] != NONE -> sent[e] = NONE; confirmed[e] = 0; carries[e] = 0 }
+	d_step { renewalAge[e] != NONE -> renewalAge[e] = NONE; isConfirmed[e] = 0; replyHasChange[e] = 0 }
 }
 
-inline act(e) {
+inline sendWork(e) {
 	d_step {
 		MAY_ACT(e) ->
-		/* A data centre that was taken out gets no work later than one lease after the change. */
-		assert(view[e] || age == NONE || age <= LEASE);
-		/* What was called in force everywhere is in force. */
-		assert(view[e] || !inForce);
+		/* A data centre that was taken out of service gets no work later than one lease after the change. */
+		assert(hasChange[e] || changeAge == NONE || changeAge <= LEASE);
+		/* Once the change is reported as in force, every instance that sends work has it. */
+		assert(hasChange[e] || !isInForce);
 		if
-		:: OWNS_OLD(e) || OWNS_NEW(e) ->
-			/* The leaf never has work of two owners. */
-			assert(runs[1 - e] == 0);
-			runs[e] = WORK
+		:: IS_OLD_OWNER(e) || IS_NEW_OWNER(e) ->
+			/* A leaf never runs work of two owners at once. */
+			assert(workLeft[1 - e] == 0);
+			workLeft[e] = WORK_TIME
 		:: else
 		fi
 	}
 }
 
-inline sayInForce() {
+inline declareInForce() {
 	d_step {
-		age != NONE && !inForce &&
+		changeAge != NONE && !isInForce &&
 #ifdef EARLY_IN_FORCE
 		1
 #else
-		((acked[0] && acked[1]) || age > LEASE)
+		((isAcknowledged[0] && isAcknowledged[1]) || changeAge > LEASE)
 #endif
-		-> inForce = 1
+		-> isInForce = 1
 	}
 }
 
-active proctype tier() {
+active proctype deployment() {
 	do
-	:: tick()
+	:: advanceTime()
 	:: commitChange()
-	:: sayInForce()
+	:: declareInForce()
 	:: sendRenewal(0) :: sendRenewal(1)
 	:: confirmFresh(0) :: confirmFresh(1)
 #ifdef STALE_CONFIRM
@@ -156,6 +156,6 @@
 #endif
 	:: receiveReply(0) :: receiveReply(1)
 	:: loseReply(0) :: loseReply(1)
-	:: act(0) :: act(1)
+	:: sendWork(0) :: sendWork(1)
 	od
 }
--- a/spec/log.pml
+++ b/spec/log.pml
@@ -1,25 +1,22 @@
 /*
  * The replicated log of the control instances.
  *
- * Three nodes elect leaders, replicate entries, restart, lose disks and are
- * repaired. A message once sent is a fact that stays: a vote or an
- * acknowledgement may be read at any later time, any number of times or
- * never. That covers loss, repetition, reordering and delay, and with them a
- * leader that is silently cut off.
+ * Three nodes elect leaders, replicate entries, restart, lose disks and are replaced. A message that was sent is kept
+ * for good: a vote or an acknowledgement may be read at any later time, any number of times or never. This covers loss,
+ * duplication, reordering and delay of messages, and so also a leader that is partitioned without noticing.
  *
- * Every entry carries the same change id, so a second entry is a resend of a
- * change whose answer was lost.
+ * Every entry carries the same change ID, so a second entry is a retry of a change whose reply was lost.
  *
- * Variants, each of which the checker must find wrong:
+ * Variants, in each of which the checker must find a violated assertion:
  *   NO_MAJORITY      one vote or acknowledgement is enough
- *   NO_TERM_CHECK    entries of earlier terms are committed by count
- *   NO_SYNC          entries are acknowledged before they are synced
- *   NO_VOTE_SYNC     votes are given before they are synced
- *   NO_LOG_CHECK     votes are given to candidates with an older log
- *   FRESH_DISK_VOTES a fresh disk votes under the identity of the lost one
- *   EARLY_VOTER      a non-voter gets its vote before it holds everything committed
- *   NO_CHANGE_ID     the state machine does not look for the change id
- *   SNAPSHOT_FORGETS a snapshot does not hold the change ids
+ *   NO_TERM_CHECK    entries of earlier terms are committed by counting acknowledgements
+ *   NO_SYNC          entries are acknowledged before they are synced to disk
+ *   NO_VOTE_SYNC     votes are sent before they are synced to disk
+ *   NO_LOG_CHECK     votes are granted to candidates whose log is behind
+ *   FRESH_DISK_VOTES a node with a fresh disk votes under the identity of the lost one
+ *   EARLY_VOTER      a non-voter becomes a voter before it holds every committed entry
+ *   NO_CHANGE_ID     the state machine does not detect duplicates by the change ID
+ *   SNAPSHOT_FORGETS a snapshot does not contain the change IDs
  */
 
 #ifndef TERMS
@@ -32,14 +29,14 @@
 #define LOSSES 0
 #endif
 #define NODES 3
-#define AT(t, n) ((t) * NODES + (n))
-#define LOG(n, i) ((n) * ENTRIES + (i))
-#define PUB(t, i) ((t) * ENTRIES + (i))
+#define TERM_NODE(t, n) ((t) * NODES + (n))
+#define LOG_SLOT(n, i) ((n) * ENTRIES + (i))
+#define SENT_SLOT(t, i) ((t) * ENTRIES + (i))
 
 #ifdef NO_TERM_CHECK
-#define OWN_TERM(written, present) 1
+#define IS_COMMITTABLE(entryTerm, currentTerm) 1
 #else
-#define OWN_TERM(written, present) ((written) == (present))
+#define IS_COMMITTABLE(entryTerm, currentTerm) ((entryTerm) == (currentTerm))
 #endif
 #ifdef NO_MAJORITY
 #define QUORUM 1
@@ -47,190 +44,193 @@
 #define QUORUM 2
 #endif
 
-byte term[NODES], vote[NODES], held[NODES];
-byte entry[NODES * ENTRIES];          /* the term of each entry */
-bit leads[NODES];
-bit lost[NODES];                      /* a fresh disk that does not vote yet */
-byte losses;
+byte term[NODES], vote[NODES], logLength[NODES];
+byte logTerm[NODES * ENTRIES];       /* term of each entry */
+bit isLeader[NODES];
+bit isNonVoter[NODES];               /* came back with a fresh disk and has not been promoted */
+byte losses;                         /* disks lost so far */
 
-/* Facts: what was once sent. */
-byte granted[(TERMS + 1) * NODES];    /* the candidate that a node voted for, plus one */
-bit stands[(TERMS + 1) * NODES];
-byte standsLen[(TERMS + 1) * NODES], standsTerm[(TERMS + 1) * NODES];
-byte leaderOf[TERMS + 1], published[TERMS + 1];
-byte publishedEntry[(TERMS + 1) * ENTRIES];
-byte acked[(TERMS + 1) * NODES];
+/* Messages sent, by term and sender. They are never removed, except those of a lost node. */
+byte voteSent[(TERMS + 1) * NODES];  /* candidate that the node voted for, plus one */
+bit voteRequested[(TERMS + 1) * NODES];
+byte requestLogLength[(TERMS + 1) * NODES], requestLastTerm[(TERMS + 1) * NODES];
+byte leaderOf[TERMS + 1], sentLength[TERMS + 1];
+byte sentTerm[(TERMS + 1) * ENTRIES];
+byte acknowledged[(TERMS + 1) * NODES];
 
-/* What was committed, as an observer of everything sees it. */
-byte comLen, com[ENTRIES], effects;
-byte comLenSeen[NODES];               /* how far each leader knows that entries are committed */
+/* The committed log as seen by an observer of all nodes, and how often the change took effect in it. */
+byte committedLength, committedTerm[ENTRIES], effects;
+byte commitIndex[NODES];             /* number of entries that each leader knows to be committed */
 
 #ifdef SNAPSHOTS
-/* A node's own state machine: how often the change took effect, whether its id is known, and the same in its snapshot. */
-byte ran[NODES], snapTo[NODES], snapRan[NODES];
-bit knows[NODES];
+/*
+ * The state machine of each node: how often it applied the change and whether it knows the change ID. Its snapshot holds
+ * the number of entries covered and how often the change was applied in them.
+ */
+byte timesApplied[NODES], snapshotIndex[NODES], snapshotTimesApplied[NODES];
+bit knowsChangeID[NODES];
 #endif
 
-bit stoodFirst;
+bit hasElectionStarted;
 
-byte i, k;
-bit good;
+byte i, lastLogTerm;
+bit isAllowed;
 
 #ifdef SNAPSHOTS
-#define APPLY(n, upto) \
-	i = comLenSeen[n]; \
+#define APPLY(n, length) \
+	i = commitIndex[n]; \
 	do \
-	:: i < upto -> \
+	:: i < length -> \
 		if \
-		:: !knows[n] -> ran[n]++; knows[n] = 1 \
+		:: !knowsChangeID[n] -> timesApplied[n]++; knowsChangeID[n] = 1 \
 		:: else \
 		fi; \
 		i++ \
 	:: else -> break \
 	od; \
-	assert(ran[n] <= 1)
-#define RELOAD(n) \
-	comLenSeen[n] = snapTo[n]; ran[n] = snapRan[n]; \
-	knows[n] = SNAPSHOT_KNOWS(n)
+	assert(timesApplied[n] <= 1)
+#define RESTORE(n) \
+	commitIndex[n] = snapshotIndex[n]; timesApplied[n] = snapshotTimesApplied[n]; \
+	knowsChangeID[n] = SNAPSHOT_HAS_CHANGE_ID(n)
 #ifdef SNAPSHOT_FORGETS
-#define SNAPSHOT_KNOWS(n) 0
+#define SNAPSHOT_HAS_CHANGE_ID(n) 0
 #else
-#define SNAPSHOT_KNOWS(n) (snapTo[n] > 0)
+#define SNAPSHOT_HAS_CHANGE_ID(n) (snapshotIndex[n] > 0)
 #endif
 #else
-#define APPLY(n, upto) skip
-#define RELOAD(n) comLenSeen[n] = 0
+#define APPLY(n, length) skip
+#define RESTORE(n) commitIndex[n] = 0
 #endif
 
-inline lastTerm(n) {
-	k = 0;
+inline readLastLogTerm(n) {
+	lastLogTerm = 0;
 	if
-	:: held[n] > 0 -> k = entry[LOG(n, held[n] - 1)]
+	:: logLength[n] > 0 -> lastLogTerm = logTerm[LOG_SLOT(n, logLength[n] - 1)]
 	:: else
 	fi
 }
 
-inline publish(n) {
-	published[term[n]] = held[n];
+inline sendEntries(n) {
+	sentLength[term[n]] = logLength[n];
 	i = 0;
 	do
-	:: i < held[n] -> publishedEntry[PUB(term[n], i)] = entry[LOG(n, i)]; i++
+	:: i < logLength[n] -> sentTerm[SENT_SLOT(term[n], i)] = logTerm[LOG_SLOT(n, i)]; i++
 	:: else -> break
 	od;
-	acked[AT(term[n], n)] = held[n]
+	acknowledged[TERM_NODE(term[n], n)] = logLength[n]
 }
 
-inline stand(n) {
+inline startElection(n) {
 	d_step {
-		/* The nodes are alike, so the first one to stand is called 0. */
-		term[n] < TERMS && !lost[n] && !leads[n] && (n == 0 || stoodFirst) ->
-		stoodFirst = 1;
+		/* Symmetry reduction: the nodes are interchangeable, so the first candidate is always node 0. */
+		term[n] < TERMS && !isNonVoter[n] && !isLeader[n] && (n == 0 || hasElectionStarted) ->
+		hasElectionStarted = 1;
 		term[n]++;
 		vote[n] = n + 1;
-		granted[AT(term[n], n)] = n + 1;
-		stands[AT(term[n], n)] = 1;
-		standsLen[AT(term[n], n)] = held[n];
-		lastTerm(n);
-		standsTerm[AT(term[n], n)] = k;
-		i = 0; k = 0
+		voteSent[TERM_NODE(term[n], n)] = n + 1;
+		voteRequested[TERM_NODE(term[n], n)] = 1;
+		requestLogLength[TERM_NODE(term[n], n)] = logLength[n];
+		readLastLogTerm(n);
+		requestLastTerm[TERM_NODE(term[n], n)] = lastLogTerm;
+		i = 0; lastLogTerm = 0
 	}
 }
 
-inline giveVote(v, c, t) {
+inline grantVote(v, c, t) {
 	d_step {
-		v != c && !lost[v] && stands[AT(t, c)] && granted[AT(t, v)] != c + 1 &&
+		v != c && !isNonVoter[v] && voteRequested[TERM_NODE(t, c)] && voteSent[TERM_NODE(t, v)] != c + 1 &&
 		(t > term[v] || (t == term[v] && (vote[v] == 0 || vote[v] == c + 1))) ->
-		lastTerm(v);
+		readLastLogTerm(v);
 #ifdef NO_LOG_CHECK
-		good = 1;
+		isAllowed = 1;
 #else
-		good = standsTerm[AT(t, c)] > k || (standsTerm[AT(t, c)] == k && standsLen[AT(t, c)] >= held[v]);
+		isAllowed = requestLastTerm[TERM_NODE(t, c)] > lastLogTerm || (requestLastTerm[TERM_NODE(t, c)] == lastLogTerm && requestLogLength[TERM_NODE(t, c)] >= logLength[v]);
 #endif
 		if
-		:: good ->
+		:: isAllowed ->
 			term[v] = t;
 			vote[v] = c + 1;
-			leads[v] = 0;
-			granted[AT(t, v)] = c + 1
+			isLeader[v] = 0;
+			voteSent[TERM_NODE(t, v)] = c + 1
 		:: else
 		fi;
-		i = 0; k = 0; good = 0
+		i = 0; lastLogTerm = 0; isAllowed = 0
 	}
 }
 
-inline win(n) {
+inline becomeLeader(n) {
 	d_step {
-		!leads[n] && !lost[n] && vote[n] == n + 1 && term[n] > 0 && leaderOf[term[n]] != n + 1 && stands[AT(term[n], n)] &&
-		((granted[AT(term[n], 0)] == n + 1) + (granted[AT(term[n], 1)] == n + 1) + (granted[AT(term[n], 2)] == n + 1)) >= QUORUM ->
+		!isLeader[n] && !isNonVoter[n] && vote[n] == n + 1 && term[n] > 0 && leaderOf[term[n]] != n + 1 && voteRequested[TERM_NODE(term[n], n)] &&
+		((voteSent[TERM_NODE(term[n], 0)] == n + 1) + (voteSent[TERM_NODE(term[n], 1)] == n + 1) + (voteSent[TERM_NODE(term[n], 2)] == n + 1)) >= QUORUM ->
 		assert(leaderOf[term[n]] == 0);
 		leaderOf[term[n]] = n + 1;
-		leads[n] = 1;
-		publish(n);
+		isLeader[n] = 1;
+		sendEntries(n);
 		i = 0
 	}
 }
 
-inline submit(n) {
+inline appendEntry(n) {
 	d_step {
-		leads[n] && held[n] < ENTRIES ->
-		entry[LOG(n, held[n])] = term[n];
-		held[n]++;
-		publish(n);
+		isLeader[n] && logLength[n] < ENTRIES ->
+		logTerm[LOG_SLOT(n, logLength[n])] = term[n];
+		logLength[n]++;
+		sendEntries(n);
 		i = 0
 	}
 }
 
-/* A follower takes the first k entries of the leader of term t. */
-inline follow(n, t, upto) {
+/* Node n accepts the first length entries that the leader of term t sent. */
+inline acceptEntries(n, t, length) {
 	d_step {
-		leaderOf[t] != 0 && leaderOf[t] != n + 1 && t >= term[n] && upto <= published[t] &&
-		!(t == term[n] && acked[AT(t, n)] >= upto && upto > 0 && !lost[n]) ->
+		leaderOf[t] != 0 && leaderOf[t] != n + 1 && t >= term[n] && length <= sentLength[t] &&
+		!(t == term[n] && acknowledged[TERM_NODE(t, n)] >= length && length > 0 && !isNonVoter[n]) ->
 		if
 		:: t > term[n] -> term[n] = t; vote[n] = 0
 		:: else
 		fi;
-		leads[n] = 0;
+		isLeader[n] = 0;
 		i = 0;
 		do
-		:: i < upto ->
+		:: i < length ->
 			if
-			:: i >= held[n] || entry[LOG(n, i)] != publishedEntry[PUB(t, i)] ->
-				entry[LOG(n, i)] = publishedEntry[PUB(t, i)];
-				held[n] = i + 1
+			:: i >= logLength[n] || logTerm[LOG_SLOT(n, i)] != sentTerm[SENT_SLOT(t, i)] ->
+				logTerm[LOG_SLOT(n, i)] = sentTerm[SENT_SLOT(t, i)];
+				logLength[n] = i + 1
 			:: else
 			fi;
 			i++
 		:: else -> break
 		od;
-		/* What was cut off is cleared, so that equal logs are equal states. */
-		i = held[n];
+		/* Clear the truncated entries, so that equal logs are equal states. */
+		i = logLength[n];
 		do
-		:: i < ENTRIES -> entry[LOG(n, i)] = 0; i++
+		:: i < ENTRIES -> logTerm[LOG_SLOT(n, i)] = 0; i++
 		:: else -> break
 		od;
 		if
-		:: !lost[n] && acked[AT(t, n)] < upto -> acked[AT(t, n)] = upto
+		:: !isNonVoter[n] && acknowledged[TERM_NODE(t, n)] < length -> acknowledged[TERM_NODE(t, n)] = length
 		:: else
 		fi;
 		i = 0
 	}
 }
 
-inline commit(n, upto) {
+inline advanceCommitIndex(n, length) {
 	d_step {
-		leads[n] && upto <= held[n] && upto > comLenSeen[n] &&
-		((acked[AT(term[n], 0)] >= upto) + (acked[AT(term[n], 1)] >= upto) + (acked[AT(term[n], 2)] >= upto)) >= QUORUM &&
-		OWN_TERM(entry[LOG(n, upto - 1)], term[n]) ->
-		APPLY(n, upto);
-		comLenSeen[n] = upto;
+		isLeader[n] && length <= logLength[n] && length > commitIndex[n] &&
+		((acknowledged[TERM_NODE(term[n], 0)] >= length) + (acknowledged[TERM_NODE(term[n], 1)] >= length) + (acknowledged[TERM_NODE(term[n], 2)] >= length)) >= QUORUM &&
+		IS_COMMITTABLE(logTerm[LOG_SLOT(n, length - 1)], term[n]) ->
+		APPLY(n, length);
+		commitIndex[n] = length;
 		i = 0;
 		do
-		:: i < upto ->
+		:: i < length ->
 			if
-			:: i < comLen -> assert(com[i] == entry[LOG(n, i)])
+			:: i < committedLength -> assert(committedTerm[i] == logTerm[LOG_SLOT(n, i)])
 			:: else ->
-				com[i] = entry[LOG(n, i)];
-				comLen++;
+				committedTerm[i] = logTerm[LOG_SLOT(n, i)];
+				committedLength++;
 #ifdef NO_CHANGE_ID
 				effects++
 #else
@@ -247,12 +247,12 @@
 
 inline restart(n) {
 	d_step {
-		leads[n] || stands[AT(term[n], n)] || held[n] > 0 || vote[n] > 0 ->
-		leads[n] = 0;
-		RELOAD(n);
+		isLeader[n] || voteRequested[TERM_NODE(term[n], n)] || logLength[n] > 0 || vote[n] > 0 ->
+		isLeader[n] = 0;
+		RESTORE(n);
 #ifdef NO_SYNC
 		if
-		:: held[n] > 0 -> held[n]--; entry[LOG(n, held[n])] = 0
+		:: logLength[n] > 0 -> logLength[n]--; logTerm[LOG_SLOT(n, logLength[n])] = 0
 		:: else
 		fi;
 #endif
@@ -264,111 +264,110 @@
 }
 
 #ifdef SNAPSHOTS
-inline snapshot(n) {
-	d_step { comLenSeen[n] > snapTo[n] -> snapTo[n] = comLenSeen[n]; snapRan[n] = ran[n] }
+inline takeSnapshot(n) {
+	d_step { commitIndex[n] > snapshotIndex[n] -> snapshotIndex[n] = commitIndex[n]; snapshotTimesApplied[n] = timesApplied[n] }
 }
 #endif
 
-/* A disk is lost; the instance comes back with a fresh one. One at a time. */
+/* A node loses its disk and comes back with a fresh one. At most one node is a non-voter at a time. */
 inline loseDisk(n) {
 	d_step {
-		losses < LOSSES && !lost[0] && !lost[1] && !lost[2] ->
+		losses < LOSSES && !isNonVoter[0] && !isNonVoter[1] && !isNonVoter[2] ->
 		losses++;
 		term[n] = 0;
 		vote[n] = 0;
-		held[n] = 0;
-		leads[n] = 0;
-		comLenSeen[n] = 0;
+		logLength[n] = 0;
+		isLeader[n] = 0;
+		commitIndex[n] = 0;
 		i = 0;
 		do
-		:: i < ENTRIES -> entry[LOG(n, i)] = 0; i++
+		:: i < ENTRIES -> logTerm[LOG_SLOT(n, i)] = 0; i++
 		:: else -> break
 		od;
 		i = 0;
 #ifndef FRESH_DISK_VOTES
-		lost[n] = 1
+		isNonVoter[n] = 1
 #endif
 	}
 }
 
 /*
- * The leader replaces the lost member by the fresh one. Three of four voters
- * must take the entry that says so, so the other one follows the leader in its
- * term and does not stand in it.
+ * Leader l replaces the lost member by node n with its fresh disk. Three of four voters must accept the configuration
+ * entry, so the third node follows the leader in this term and is not a candidate in it.
  */
 inline promote(n, l) {
 	d_step {
-		lost[n] && leads[l] && term[3 - n - l] == term[l] && !stands[AT(term[l], 3 - n - l)] && term[n] == term[l] ->
-		good = held[n] >= comLen;
+		isNonVoter[n] && isLeader[l] && term[3 - n - l] == term[l] && !voteRequested[TERM_NODE(term[l], 3 - n - l)] && term[n] == term[l] ->
+		isAllowed = logLength[n] >= committedLength;
 		i = 0;
 		do
-		:: good && i < comLen -> good = (entry[LOG(n, i)] == com[i]); i++
+		:: isAllowed && i < committedLength -> isAllowed = (logTerm[LOG_SLOT(n, i)] == committedTerm[i]); i++
 		:: else -> break
 		od;
 #ifdef EARLY_VOTER
-		good = 1;
+		isAllowed = 1;
 #endif
 		if
-		:: good ->
-			lost[n] = 0;
-			/* Votes and acknowledgements of the lost member no longer count. */
+		:: isAllowed ->
+			isNonVoter[n] = 0;
+			/* Messages that the lost member sent no longer count. */
 			i = 0;
 			do
-			:: i <= TERMS -> granted[AT(i, n)] = 0; stands[AT(i, n)] = 0; acked[AT(i, n)] = 0; i++
+			:: i <= TERMS -> voteSent[TERM_NODE(i, n)] = 0; voteRequested[TERM_NODE(i, n)] = 0; acknowledged[TERM_NODE(i, n)] = 0; i++
 			:: else -> break
 			od
 		:: else
 		fi;
-		i = 0; good = 0
+		i = 0; isAllowed = 0
 	}
 }
 
-#define EACH(what) :: what(0) :: what(1) :: what(2)
+#define FOR_EACH_NODE(action) :: action(0) :: action(1) :: action(2)
 
-#define VOTES(t) :: giveVote(0, 1, t) :: giveVote(0, 2, t) :: giveVote(1, 0, t) :: giveVote(1, 2, t) :: giveVote(2, 0, t) :: giveVote(2, 1, t)
-#define FOLLOWS(t, upto) :: follow(0, t, upto) :: follow(1, t, upto) :: follow(2, t, upto)
-#define COMMITS(upto) :: commit(0, upto) :: commit(1, upto) :: commit(2, upto)
+#define GRANT_VOTES(t) :: grantVote(0, 1, t) :: grantVote(0, 2, t) :: grantVote(1, 0, t) :: grantVote(1, 2, t) :: grantVote(2, 0, t) :: grantVote(2, 1, t)
+#define ACCEPT_ENTRIES(t, length) :: acceptEntries(0, t, length) :: acceptEntries(1, t, length) :: acceptEntries(2, t, length)
+#define ADVANCE_COMMIT_INDEX(length) :: advanceCommitIndex(0, length) :: advanceCommitIndex(1, length) :: advanceCommitIndex(2, length)
 
 active proctype cluster() {
 end:
 	do
-	EACH(stand)
-	EACH(win)
-	EACH(submit)
-	EACH(restart)
+	FOR_EACH_NODE(startElection)
+	FOR_EACH_NODE(becomeLeader)
+	FOR_EACH_NODE(appendEntry)
+	FOR_EACH_NODE(restart)
 #ifdef SNAPSHOTS
-	EACH(snapshot)
+	FOR_EACH_NODE(takeSnapshot)
 #endif
 #if LOSSES > 0
-	EACH(loseDisk)
+	FOR_EACH_NODE(loseDisk)
 	:: promote(0, 1) :: promote(0, 2) :: promote(1, 0) :: promote(1, 2) :: promote(2, 0) :: promote(2, 1)
 #endif
-	VOTES(1)
-	FOLLOWS(1, 0)
-	FOLLOWS(1, 1)
-	COMMITS(1)
+	GRANT_VOTES(1)
+	ACCEPT_ENTRIES(1, 0)
+	ACCEPT_ENTRIES(1, 1)
+	ADVANCE_COMMIT_INDEX(1)
 #if TERMS >= 2
-	VOTES(2)
-	FOLLOWS(2, 0)
-	FOLLOWS(2, 1)
+	GRANT_VOTES(2)
+	ACCEPT_ENTRIES(2, 0)
+	ACCEPT_ENTRIES(2, 1)
 #endif
 #if TERMS >= 3
-	VOTES(3)
-	FOLLOWS(3, 0)
-	FOLLOWS(3, 1)
+	GRANT_VOTES(3)
+	ACCEPT_ENTRIES(3, 0)
+	ACCEPT_ENTRIES(3, 1)
 #endif
 #if TERMS >= 4
-	VOTES(4)
-	FOLLOWS(4, 0)
-	FOLLOWS(4, 1)
+	GRANT_VOTES(4)
+	ACCEPT_ENTRIES(4, 0)
+	ACCEPT_ENTRIES(4, 1)
 #endif
 #if ENTRIES >= 2
-	FOLLOWS(1, 2)
-	FOLLOWS(2, 2)
+	ACCEPT_ENTRIES(1, 2)
+	ACCEPT_ENTRIES(2, 2)
 #if TERMS >= 3
-	FOLLOWS(3, 2)
+	ACCEPT_ENTRIES(3, 2)
 #endif
-	COMMITS(2)
+	ADVANCE_COMMIT_INDEX(2)
 #endif
 	od
 }
