--- a/pkg/admitter/leaf.go
+++ b/pkg/admitter/admitter.go
@@ -1,7 +1,7 @@
 // Admission control for one leaf. The number of requests in flight is bounded
-// by the warm-up limit and by the slots configured for the leaf. A request
-// without an answer occupies its slot until the leaf can no longer be running
-// it.
+// by the concurrency limit, which is at most the number of slots configured for
+// the leaf. A request without an answer occupies its slot until the leaf can no
+// longer be running it.
 
 package admitter
 
@@ -121,13 +121,13 @@
 func (Cancelled) isOutcome()        {}
 func (TimedOut) isOutcome()         {}
 
-// WithGrowth sets how the warm-up limit grows; the default is AdditiveGrowth.
+// WithGrowth sets how the concurrency limit grows; the default is AdditiveGrowth.
 func WithGrowth(growth Growth) Option {
 	return func(a *Admitter) { a.warmUp.growth = growth }
 }
 
-// WithHandover starts with the state that the previous owner handed over: its warm-up limit, the usual latency of the
-// leaf, and the number of requests that may run until the given time.
+// WithHandover starts with the state that the previous owner handed over: its concurrency limit, the usual latency of
+// the leaf, and the number of requests that may run until the given time.
 func WithHandover(limit float64, latency time.Duration, inFlight int, until time.Duration) Option {
 	return func(a *Admitter) {
 		a.warmUp.limit = max(minLimit, min(limit, float64(a.slots)))
@@ -139,7 +139,7 @@
 	}
 }
 
-// New returns an Admitter for a leaf with the given number of slots; its warm-up limit starts at one.
+// New returns an Admitter for a leaf with the given number of slots; its concurrency limit starts at one.
 func New(slots int, now time.Duration, options ...Option) *Admitter {
 	admitter := &Admitter{
 		slots: slots, queue: newQueue(), warmUp: newWarmUp(AdditiveGrowth{}, now), inFlight: map[uint64]inFlightRequest{},
@@ -244,7 +244,7 @@
 	a.unconfirmedUntil = append(a.unconfirmedUntil, sent.request.Deadline+deadlineGrace)
 }
 
-// OnRestart records that the leaf has restarted, which resets the warm-up limit.
+// OnRestart records that the leaf has restarted, which resets the concurrency limit.
 func (a *Admitter) OnRestart(now time.Duration) { a.warmUp.reset(now, "restarted") }
 
 // RemainingRunTime returns how long from now the last of the sent requests may still run at the leaf.
--- a/pkg/admitter/doc.go
+++ b/pkg/admitter/doc.go
@@ -1,3 +1,3 @@
 // Package admitter limits the requests that are sent to one leaf: each request is sent, queued or refused, depending on
-// the warm-up limit of the leaf, its queue and the overload threshold.
+// the concurrency limit of the leaf, its queue and the overload threshold.
 package admitter
--- a/pkg/admitter/warm_up.go
+++ b/pkg/admitter/warm_up.go
@@ -1,6 +1,6 @@
-// The warm-up limit is the number of requests that a leaf may run at once. It
-// starts at one, grows while answers arrive in time, and is reset to one when
-// slow answers or slow requests in flight show that the leaf is cold again.
+// The concurrency limit is the number of requests that a leaf may run at once.
+// It starts at one, grows while answers arrive in time, and is reset to one
+// when slow answers or slow requests in flight show that the leaf is cold again.
 
 package admitter
 
@@ -24,7 +24,7 @@
 )
 
 type (
-	// Growth selects how the warm-up limit grows: AdditiveGrowth or GradientGrowth.
+	// Growth selects how the concurrency limit grows: AdditiveGrowth or GradientGrowth.
 	Growth interface {
 		isGrowth()
 	}
--- a/pkg/caller/server.go
+++ b/pkg/caller/server.go
@@ -115,12 +115,12 @@
 }
 
 func (s *Server) onTicketQuery(c fiber.Ctx, query Query) error {
-	owner, _, err := ticketer.Parse(query.Ticket)
+	grantor, _, err := ticketer.Parse(query.Ticket)
 	if err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, err.Error())
 	}
 	body := append([]byte(nil), c.Body()...)
-	outcome, err := s.runOrForward(owner, query.Ticket, body)
+	outcome, err := s.runOrForward(grantor, query.Ticket, body)
 	if err != nil {
 		return sendAnswer(c, unknownOutcome(err.Error()))
 	}
@@ -131,11 +131,11 @@
 	return sendAnswer(c, answer)
 }
 
-func (s *Server) runOrForward(owner tabulator.MemberID, ticket string, body []byte) ([]byte, error) {
-	if owner == s.config.Self {
+func (s *Server) runOrForward(grantor tabulator.MemberID, ticket string, body []byte) ([]byte, error) {
+	if grantor == s.config.Self {
 		return s.RunTicket(ticket, body)
 	}
-	return s.config.ForwardTicket(owner, ticket, body)
+	return s.config.ForwardTicket(grantor, ticket, body)
 }
 
 func (s *Server) onNewTicket(c fiber.Ctx) error {
--- a/pkg/commander/verb_demo.go
+++ b/pkg/commander/verb_demo.go
@@ -64,7 +64,7 @@
 	sheet.Add("coverage", fmt.Sprintf("%.4f", r.Coverage))
 	sheet.Add("work received / needed", fmt.Sprintf("%.3f", r.WorkRatio))
 	for _, change := range r.InForce {
-		sheet.Add("in force: "+change.Change, fmt.Sprintf("%d/%d after %s", change.Acting, change.Members, change.Duration.Round(time.Millisecond)))
+		sheet.Add("in force: "+change.Change, fmt.Sprintf("%d/%d after %s", change.UpToDate, change.Members, change.Duration.Round(time.Millisecond)))
 	}
 	sheet.Add("violations", strconv.Itoa(r.ViolationCount()))
 	return sheet
--- a/pkg/commander/verb_table.go
+++ b/pkg/commander/verb_table.go
@@ -96,18 +96,18 @@
 		defer func() { _ = file.Close() }()
 		reader = file
 	}
-	rows, faults, err := tabulator.ReadCSV(reader)
+	rows, cellErrors, err := tabulator.ReadCSV(reader)
 	if err != nil {
 		return nil, err
 	}
-	if len(faults) == 0 {
+	if len(cellErrors) == 0 {
 		return rows, nil
 	}
-	lines := make([]string, 0, len(faults))
-	for _, fault := range faults {
-		lines = append(lines, "  "+fault.Error())
+	lines := make([]string, 0, len(cellErrors))
+	for _, cellError := range cellErrors {
+		lines = append(lines, "  "+cellError.Error())
 	}
-	return nil, errors.Errorf("%d invalid cells in %s, nothing was changed:\n%s", len(faults), path, strings.Join(lines, "\n"))
+	return nil, errors.Errorf("%d invalid cells in %s, nothing was changed:\n%s", len(cellErrors), path, strings.Join(lines, "\n"))
 }
 
 // printDifferences prints the cells in which rows differ from the table and returns the rows that differ.
@@ -199,12 +199,12 @@
 
 func parseCells(cells []string) (tabulator.RowFields, error) {
 	text := strings.Join(tabulator.Columns(), ",") + "\n" + strings.Join(cells, ",") + "\n"
-	rows, faults, err := tabulator.ReadCSV(strings.NewReader(text))
+	rows, cellErrors, err := tabulator.ReadCSV(strings.NewReader(text))
 	if err != nil {
 		return tabulator.RowFields{}, err
 	}
-	if len(faults) > 0 {
-		return tabulator.RowFields{}, faults[0]
+	if len(cellErrors) > 0 {
+		return tabulator.RowFields{}, cellErrors[0]
 	}
 	return rows[0], nil
 }
--- a/pkg/controller/client.go
+++ b/pkg/controller/client.go
@@ -57,7 +57,7 @@
 	Client struct {
 		config          ClientConfig
 		peers           peerList
-		board           *lister.RosterStore
+		rosterStore     *lister.RosterStore
 		renewalInterval time.Duration
 		mu              sync.Mutex
 		view            *tabulator.View
@@ -72,7 +72,7 @@
 
 // NewClient returns a client without a lease. Run starts the renewals.
 func NewClient(config ClientConfig) *Client {
-	client := &Client{config: config, view: tabulator.NewView(), renewalInterval: defaultRenewalInterval, board: lister.NewRosterStore(config.Now), stop: make(chan struct{})}
+	client := &Client{config: config, view: tabulator.NewView(), renewalInterval: defaultRenewalInterval, rosterStore: lister.NewRosterStore(config.Now), stop: make(chan struct{})}
 	client.peers.linker = config.Linker
 	client.peers.setAddresses(config.Addresses)
 	client.peers.shuffle(config.Random)
@@ -96,7 +96,7 @@
 func (c *Client) LeaseHeld(now time.Duration) bool { return int64(now) < c.leaseEnd.Load() }
 
 // RosterReadAt returns when a control instance last read the current leaf roster, and false before the first roster.
-func (c *Client) RosterReadAt() (time.Duration, bool) { return c.board.LastReadAt() }
+func (c *Client) RosterReadAt() (time.Duration, bool) { return c.rosterStore.LastReadAt() }
 
 // View returns the view in use at this instance.
 func (c *Client) View() *tabulator.View {
@@ -230,7 +230,7 @@
 }
 
 func (c *Client) nextInterval() time.Duration {
-	if c.config.OnRoster != nil && c.board.Stamp() == (lister.RosterStamp{}) {
+	if c.config.OnRoster != nil && c.rosterStore.Stamp() == (lister.RosterStamp{}) {
 		return initialRenewalInterval
 	}
 	return c.renewalInterval
@@ -242,7 +242,7 @@
 		return errors.New("renew: no control instance is known")
 	}
 	view := c.View()
-	query := RenewQuery{Member: c.config.Member, Have: view.Revision(), Roster: c.board.Stamp(), Stamp: c.config.Timeline.Now()}
+	query := RenewQuery{Member: c.config.Member, Have: view.Revision(), Roster: c.rosterStore.Stamp(), Stamp: c.config.Timeline.Now()}
 	if c.config.CountRequests != nil {
 		query.Requests = c.config.CountRequests()
 	}
@@ -282,10 +282,10 @@
 	if len(reply.Control) > 0 {
 		c.peers.setAddresses(reply.Control)
 	}
-	if c.board.Apply(reply.Roster) && c.config.OnRoster != nil {
-		c.config.OnRoster(c.board.FullRoster())
+	if c.rosterStore.Apply(reply.Roster) && c.config.OnRoster != nil {
+		c.config.OnRoster(c.rosterStore.FullRoster())
 	}
-	c.board.Confirm(reply.Reading)
+	c.rosterStore.Confirm(reply.Reading)
 	if c.config.OnTotalRequests != nil {
 		c.config.OnTotalRequests(reply.Requests)
 	}
--- a/pkg/controller/server.go
+++ b/pkg/controller/server.go
@@ -33,7 +33,7 @@
 	answerTimeout   = 2 * time.Second
 )
 
-// EventFailed is the kind of the event that the instance failed and acknowledges nothing more, usually after a disk write error.
+// EventFailed is the kind of the event for an instance that has failed, usually on a disk write, and acknowledges nothing more.
 const EventFailed = "control-failed"
 
 var errStopped = errors.New("the control instance has stopped")
@@ -46,13 +46,13 @@
 
 	// ServerConfig configures a Server.
 	ServerConfig struct {
-		// Instance is the name of the control instance, which is its address where Founding is set.
+		// Instance is the name of the control instance, which is its address if Discovery is set.
 		Instance string
 		Node     replicator.NodeID
 		// InitialVoters are the voters of a log without a saved configuration.
 		InitialVoters []replicator.NodeID
-		// Addresses maps the names of control instances to addresses. A name without an entry is used as the address where
-		// Founding is set.
+		// Addresses maps the names of control instances to addresses. A name without an entry is used as the address if
+		// Discovery is set.
 		Addresses map[string]string
 		Linker    *linker.Linker
 		Store     Store
@@ -62,8 +62,8 @@
 		Now      func() time.Duration
 		Random   *rand.Rand
 		Timeline *timeliner.Timeline
-		// Board holds the leaf roster. It is nil if this instance does not distribute one.
-		Board *lister.RosterStore
+		// RosterStore holds the leaf roster. It is nil if this instance does not distribute one.
+		RosterStore *lister.RosterStore
 		// Discovery describes how to find the other control instances. It is nil if the settings list the control instances.
 		Discovery *Discovery
 		// RenewalInterval is the time between renewals that entry instances are told to use. If 0, they use their default.
--- a/pkg/controller/service.go
+++ b/pkg/controller/service.go
@@ -32,9 +32,9 @@
 
 // Report records the sessions of another control instance and returns the leaf roster and the total request count.
 func (s *Service) Report(query ReportQuery, reply *ReportReply) error {
-	if s.server.config.Board != nil {
-		reply.Roster = s.server.config.Board.ChangesSince(query.Roster)
-		reply.Reading = s.server.config.Board.Reading()
+	if s.server.config.RosterStore != nil {
+		reply.Roster = s.server.config.RosterStore.ChangesSince(query.Roster)
+		reply.Reading = s.server.config.RosterStore.Reading()
 	}
 	return s.server.enqueueAndWait(func(done func()) {
 		defer done()
@@ -150,9 +150,9 @@
 	if err != nil {
 		return RenewReply{Reason: err.Error()}
 	}
-	if s.config.Board != nil {
-		reply.Roster = s.config.Board.ChangesSince(query.Roster)
-		reply.Reading = s.config.Board.Reading()
+	if s.config.RosterStore != nil {
+		reply.Roster = s.config.RosterStore.ChangesSince(query.Roster)
+		reply.Reading = s.config.RosterStore.Reading()
 	}
 	return reply
 }
--- a/pkg/controller/sessions.go
+++ b/pkg/controller/sessions.go
@@ -17,7 +17,7 @@
 type (
 	// sessions holds the leases granted by this control instance and, on the leader, the reports of the other control
 	// instances about theirs. A lease counts as held until the lease length and the clock drift margin have passed since the
-	// grant (assigner.GrantEnd).
+	// grant (assigner.GrantExpiry).
 	sessions struct {
 		instance    string
 		startedAt   time.Duration
@@ -181,7 +181,7 @@
 }
 
 func (s *Server) nextReportInterval() time.Duration {
-	if s.config.Board != nil && s.config.Board.Stamp() == (lister.RosterStamp{}) {
+	if s.config.RosterStore != nil && s.config.RosterStore.Stamp() == (lister.RosterStamp{}) {
 		return initialReportInterval
 	}
 	return reportInterval
@@ -198,8 +198,8 @@
 		if p, ok := s.peerFor(leader); ok && leader != s.config.Instance {
 			now := s.config.Now()
 			query := ReportQuery{From: s.config.Instance, Sessions: s.sessions.countByRevision(now), Requests: s.sessions.countRequests(now)}
-			if s.config.Board != nil {
-				query.Roster = s.config.Board.Stamp()
+			if s.config.RosterStore != nil {
+				query.Roster = s.config.RosterStore.Stamp()
 			}
 			targets <- target{peer: p, query: query}
 			return
@@ -222,9 +222,9 @@
 			// The instance has stopped.
 			return
 		}
-		if s.config.Board != nil {
-			s.config.Board.Apply(reply.Roster)
-			s.config.Board.Confirm(reply.Reading)
+		if s.config.RosterStore != nil {
+			s.config.RosterStore.Apply(reply.Roster)
+			s.config.RosterStore.Confirm(reply.Reading)
 		}
 	case <-s.stop:
 	}
--- a/pkg/controller/sessions_test.go
+++ b/pkg/controller/sessions_test.go
@@ -10,21 +10,21 @@
 // Guards against a slow start of the whole tier: only the leader reads the leaf roster, and entry instances wait for it.
 func TestReportIntervalIsShorterWithoutRoster(t *testing.T) {
 	cases := []struct {
-		name  string
-		board *lister.RosterStore
-		read  bool
-		want  time.Duration
+		name        string
+		rosterStore *lister.RosterStore
+		read        bool
+		want        time.Duration
 	}{
 		{"no roster yet", lister.NewRosterStore(func() time.Duration { return time.Second }), false, initialReportInterval},
 		{"roster received", lister.NewRosterStore(func() time.Duration { return time.Second }), true, reportInterval},
-		{"instance without a board", nil, false, reportInterval},
+		{"instance without a roster store", nil, false, reportInterval},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if c.read {
-				c.board.Publish(1, []lister.RosterLeaf{{ID: "a"}})
+				c.rosterStore.Publish(1, []lister.RosterLeaf{{ID: "a"}})
 			}
-			server := &Server{config: ServerConfig{Board: c.board}}
+			server := &Server{config: ServerConfig{RosterStore: c.rosterStore}}
 			if got := server.nextReportInterval(); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
--- a/pkg/controller/tier_test.go
+++ b/pkg/controller/tier_test.go
@@ -160,17 +160,17 @@
 	if err != nil {
 		tier.t.Fatal(err)
 	}
-	var founders []replicator.NodeID
+	var initialVoters []replicator.NodeID
 	addresses := map[string]string{}
 	for _, other := range tier.names {
 		addresses[other] = other
 		if journal.Identity().Disk == journaler.BootstrapDisk {
-			founders = append(founders, journaler.NodeID(other, journaler.BootstrapDisk))
+			initialVoters = append(initialVoters, journaler.NodeID(other, journaler.BootstrapDisk))
 		}
 	}
 	link := tier.newLinker(name)
 	server, err := NewServer(ServerConfig{
-		Instance: name, Node: journal.Identity().Node(), InitialVoters: founders, Addresses: addresses, Linker: link, Store: journal,
+		Instance: name, Node: journal.Identity().Node(), InitialVoters: initialVoters, Addresses: addresses, Linker: link, Store: journal,
 		Saved: saved, Now: tier.now, Random: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[len(name)-1]))),
 		Timeline: timeliner.New(name, time.Now),
 	})
--- a/pkg/coordinator/answer.go
+++ b/pkg/coordinator/answer.go
@@ -53,11 +53,11 @@
 		ConnectTime time.Duration
 		// LeafTime is the time from sending the request to the leaf's answer.
 		LeafTime time.Duration
-		// Limit is the warm-up limit of the leaf when its owner replied, in requests.
+		// Limit is the concurrency limit of the leaf when its owner replied, in requests.
 		Limit int
 		// Slots is the number of requests that the leaf may run at once when fully warmed up.
 		Slots int
-		// SinceLimitReset is the time since the last reset of the warm-up limit before the request was sent.
+		// SinceLimitReset is the time since the last reset of the concurrency limit before the request was sent.
 		SinceLimitReset time.Duration
 		// LimitResetReason is the reason for that reset.
 		LimitResetReason string
--- a/pkg/coordinator/catalogue.go
+++ b/pkg/coordinator/catalogue.go
@@ -210,8 +210,8 @@
 			continue
 		}
 		record := c.leafs[id]
-		row, takesWork := view.AcceptsRequests(tabulator.Key{Service: service, DataCentre: record.DataCentre})
-		if !takesWork || record.IsDraining {
+		row, acceptsRequests := view.AcceptsRequests(tabulator.Key{Service: service, DataCentre: record.DataCentre})
+		if !acceptsRequests || record.IsDraining {
 			continue
 		}
 		shard := &shards[holding.Shard]
--- a/pkg/coordinator/query.go
+++ b/pkg/coordinator/query.go
@@ -145,15 +145,15 @@
 	}
 
 	shardState struct {
-		inFlight     map[uint64]assigner.LeafID
-		triesPerLeaf map[assigner.LeafID]int
-		attemptCount int
-		body         []byte
-		isAnswered   bool
-		isGivenUp    bool
-		reason       string
-		hedgeAt      time.Duration
-		retryAt      time.Duration
+		inFlight        map[uint64]assigner.LeafID
+		attemptsPerLeaf map[assigner.LeafID]int
+		attemptCount    int
+		body            []byte
+		isAnswered      bool
+		isGivenUp       bool
+		reason          string
+		hedgeAt         time.Duration
+		retryAt         time.Duration
 		// excluded holds the leafs that answered for another version or shard, or no longer hold the version.
 		excluded map[assigner.LeafID]bool
 	}
@@ -283,7 +283,7 @@
 	q.answeredCount, q.givenUpCount, q.needsReplan = 0, 0, false
 	for i := range q.shards {
 		q.shards[i] = shardState{
-			inFlight: map[uint64]assigner.LeafID{}, triesPerLeaf: map[assigner.LeafID]int{}, excluded: map[assigner.LeafID]bool{},
+			inFlight: map[uint64]assigner.LeafID{}, attemptsPerLeaf: map[assigner.LeafID]int{}, excluded: map[assigner.LeafID]bool{},
 		}
 	}
 }
@@ -343,7 +343,7 @@
 // onHedgeRefused returns the budget token of a hedge that did not run and allows another hedge after retryDelay.
 func (q *Query) onHedgeRefused(shard *shardState, leaf assigner.LeafID, now time.Duration) {
 	q.deps.Budget.ReturnHedge()
-	shard.triesPerLeaf[leaf]--
+	shard.attemptsPerLeaf[leaf]--
 	shard.hedgeAt = now + retryDelay
 }
 
--- a/pkg/coordinator/query_ask.go
+++ b/pkg/coordinator/query_send.go
@@ -20,7 +20,7 @@
 	}
 	id := q.deps.NextAttemptID()
 	shard.inFlight[id] = leaf
-	shard.triesPerLeaf[leaf]++
+	shard.attemptsPerLeaf[leaf]++
 	shard.attemptCount++
 	shard.retryAt = 0
 	shard.hedgeAt = 0
@@ -57,12 +57,12 @@
 func (q *Query) candidates(shardIndex int, kind AttemptKind, now time.Duration) (preferred, avoided []chooser.Candidate) {
 	shard := &q.shards[shardIndex]
 	plan := q.plan.Shards[shardIndex]
-	leastTries := q.minTries(shardIndex)
+	fewestAttempts := q.minAttempts(shardIndex)
 	for i, leaf := range plan.Candidates {
-		if shard.excluded[leaf] || shard.triesPerLeaf[leaf] != leastTries {
+		if shard.excluded[leaf] || shard.attemptsPerLeaf[leaf] != fewestAttempts {
 			continue
 		}
-		if kind == AttemptHedge && (leastTries > 0 || !q.deps.Chooser.AllowsHedge(leaf, now)) {
+		if kind == AttemptHedge && (fewestAttempts > 0 || !q.deps.Chooser.AllowsHedge(leaf, now)) {
 			continue
 		}
 		candidate := chooser.Candidate{Leaf: leaf, Weight: plan.Weights[i]}
@@ -75,15 +75,15 @@
 	return preferred, avoided
 }
 
-func (q *Query) minTries(shardIndex int) int {
+func (q *Query) minAttempts(shardIndex int) int {
 	shard := &q.shards[shardIndex]
-	leastTries := maxAttemptsPerShard
+	fewestAttempts := maxAttemptsPerShard
 	for _, leaf := range q.plan.Shards[shardIndex].Candidates {
 		if !shard.excluded[leaf] {
-			leastTries = min(leastTries, shard.triesPerLeaf[leaf])
+			fewestAttempts = min(fewestAttempts, shard.attemptsPerLeaf[leaf])
 		}
 	}
-	return leastTries
+	return fewestAttempts
 }
 
 // retry sends the request to an untried replica at once, or schedules another attempt after retryDelay. The retry budget
@@ -96,7 +96,7 @@
 		return nil
 	}
 	for _, leaf := range q.plan.Shards[shardIndex].Candidates {
-		if !shard.excluded[leaf] && shard.triesPerLeaf[leaf] == 0 {
+		if !shard.excluded[leaf] && shard.attemptsPerLeaf[leaf] == 0 {
 			return q.send(shardIndex, AttemptRetry, now)
 		}
 	}
--- a/pkg/demonstrator/demo.go
+++ b/pkg/demonstrator/demo.go
@@ -59,8 +59,8 @@
 	// InForce records how long one change took until it was in force on all instances.
 	InForce struct {
 		Change string `json:"change"`
-		// Acting is the number of instances that use the change.
-		Acting   int           `json:"acting"`
+		// UpToDate is the number of instances that use the change.
+		UpToDate int           `json:"acting"`
 		Members  int           `json:"members"`
 		Duration time.Duration `json:"took-ns"`
 	}
@@ -127,21 +127,21 @@
 }
 
 func (d *demonstration) runUnderLoad(agency, tobermory emulator.Shape) error {
-	judge := experimenter.NewChecker(d.fleet)
+	checker := experimenter.NewChecker(d.fleet)
 	load := experimenter.NewLoadGenerator(queriesPerSecond, []experimenter.QueryTemplate{
 		{Caller: "customs-officer", Services: agency.ServicesForShards(71), Share: 0.4},
 		{Caller: "council-officer", Services: tobermory.ServicesForShards(70), Share: 0.4},
 		{Caller: "inspector", Services: []string{"inspector-field"}, Share: 0.1},
 		{Caller: "certificates", Services: []string{"registry-admin"}, Share: 0.05, HasSideEffect: true},
 		{Caller: "night-check", Services: []string{"cert-audit"}, Share: 0.05},
-	}, experimenter.OverHTTP(d.tier, d.config.Seed), judge, d.config.Seed)
+	}, experimenter.OverHTTP(d.tier, d.config.Seed), checker, d.config.Seed)
 	before := d.fleet.Counts()
 	var group conc.WaitGroup
 	var injectionErr error
 	group.Go(func() { injectionErr = d.injectFailures() })
-	tally := load.Run(loadDuration)
+	stats := load.Run(loadDuration)
 	group.Wait()
-	d.collectResult(tally, judge, before)
+	d.collectResult(stats, checker, before)
 	return injectionErr
 }
 
@@ -193,7 +193,7 @@
 	}
 	duration := time.Since(startedAt)
 	d.reportStep("%s: accepted at revision %d, in force on %d/%d after %s", change, revision, reply.UpToDate, reply.Members, duration.Round(time.Millisecond))
-	d.result.InForce = append(d.result.InForce, InForce{Change: change, Acting: reply.UpToDate, Members: reply.Members, Duration: duration})
+	d.result.InForce = append(d.result.InForce, InForce{Change: change, UpToDate: reply.UpToDate, Members: reply.Members, Duration: duration})
 	return nil
 }
 
@@ -216,20 +216,20 @@
 	return nil
 }
 
-func (d *demonstration) collectResult(tally *experimenter.LoadStats, judge *experimenter.Checker, before emulator.Counts) {
+func (d *demonstration) collectResult(stats *experimenter.LoadStats, checker *experimenter.Checker, before emulator.Counts) {
 	after := d.fleet.Counts()
 	r := &d.result
-	r.Queries = tally.Offered()
-	r.Reasons = tally.Reasons()
+	r.Queries = stats.Offered()
+	r.Reasons = stats.Reasons()
 	r.Outcomes = map[string]int{}
-	for outcome, count := range tally.Outcomes() {
+	for outcome, count := range stats.Outcomes() {
 		r.Outcomes[string(outcome)] = count
 	}
-	r.P50, r.P99, r.P999 = tally.Percentile(50), tally.Percentile(99), tally.Percentile(99.9)
-	r.Coverage = tally.Coverage()
-	r.WorkRatio = float64(after.Received-before.Received) / float64(max(1, tally.ShardsNeeded()))
-	r.Violations, r.Examples = judge.Finish()
-	r.SlowestID, _ = tally.Slowest()
+	r.P50, r.P99, r.P999 = stats.Percentile(50), stats.Percentile(99), stats.Percentile(99.9)
+	r.Coverage = stats.Coverage()
+	r.WorkRatio = float64(after.Received-before.Received) / float64(max(1, stats.ShardsNeeded()))
+	r.Violations, r.Examples = checker.Finish()
+	r.SlowestID, _ = stats.Slowest()
 	if trace, ok := d.tier.FindTrace(r.SlowestID); ok {
 		r.Explanation = tracer.Explain(trace)
 		r.Tree = tracer.Tree(trace)
--- a/pkg/dispatcher/course.go
+++ b/pkg/dispatcher/active_query.go
@@ -115,7 +115,7 @@
 		return
 	}
 	active.owners[attempt.Attempt] = owner.ID()
-	d.config.Transport.Ask(owner, fellow.Request{
+	d.config.Transport.SendRequest(owner, fellow.Request{
 		ID: attempt.Attempt, Query: active.id, Leaf: string(attempt.Leaf), Service: attempt.Shard.Service, Shard: attempt.Shard.Number,
 		Index: attempt.Version.Index, Version: attempt.Version.Number, RemainingUs: (attempt.Deadline - now).Microseconds(),
 		Effect: !active.request.Idempotent, Hedge: attempt.IsHedge, Caller: active.request.Caller, Weight: active.request.Weight,
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -33,8 +33,8 @@
 type (
 	// Transport sends requests and cancellations to the owners of leafs.
 	Transport interface {
-		// Ask sends a request to an owner, whose reply arrives through OnReplies.
-		Ask(owner tabulator.Member, ask fellow.Request)
+		// SendRequest sends a request to an owner, whose reply arrives through OnReplies.
+		SendRequest(owner tabulator.Member, request fellow.Request)
 		// Cancel cancels the request with the given identifier.
 		Cancel(owner tabulator.MemberID, id uint64)
 		// IsUnresponsive reports whether an owner did not acknowledge what was last sent to it.
@@ -56,11 +56,12 @@
 		LeaseHeld func(now time.Duration) bool
 		Transport Transport
 		Random    *rand.Rand
-		// Policy selects the replica for an attempt; nil means chooser.Scored.
-		Policy   chooser.Policy
-		NoHedges bool
-		// IgnoresOverload admits queries regardless of the overload thresholds of the leafs.
-		IgnoresOverload bool
+		// Policy selects the replica for an attempt; nil means chooser.PowerOfTwoChoices.
+		Policy         chooser.Policy
+		DisablesHedges bool
+		// DisablesLoadShedding admits queries regardless of the overload thresholds of the leafs. The owners of the leafs still
+		// refuse requests whose priority is below the threshold.
+		DisablesLoadShedding bool
 		// UsesLocalOwner sends all attempts to the owner in this instance, whatever the assignment of the leafs.
 		UsesLocalOwner bool
 	}
@@ -215,7 +216,7 @@
 		return nil, ReasonNoHoldings
 	}
 	priority := priorityOf(id)
-	if !d.config.IgnoresOverload && priority < d.admissionThreshold(plan, now) {
+	if !d.config.DisablesLoadShedding && priority < d.admissionThreshold(plan, now) {
 		return nil, ReasonOverloaded
 	}
 	hedging := d.hedgeStateFor(request.Services)
@@ -224,7 +225,7 @@
 		finished: make(chan coordinator.Answer, 1),
 	}
 	active.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
-		Chooser: d.chooser, Budget: hedging.budget, Quantile: hedging.quantile, DisablesHedges: d.config.NoHedges,
+		Chooser: d.chooser, Budget: hedging.budget, Quantile: hedging.quantile, DisablesHedges: d.config.DisablesHedges,
 		NextAttemptID: d.nextAttemptID, AttemptTimeout: assigner.MaxLeafRequestTime, ShouldAvoid: d.isOwnerUnresponsive,
 	})
 	active.timer = time.AfterFunc(time.Hour, func() { d.onTimer(active) })
--- a/pkg/dispatcher/dispatcher_test.go
+++ b/pkg/dispatcher/dispatcher_test.go
@@ -26,7 +26,7 @@
 	cancelCount    int
 }
 
-func (f *fakeOwners) Ask(_ tabulator.Member, ask fellow.Request) {
+func (f *fakeOwners) SendRequest(_ tabulator.Member, request fellow.Request) {
 	f.mu.Lock()
 	f.requestCount++
 	f.mu.Unlock()
@@ -35,7 +35,7 @@
 	}
 	time.AfterFunc(f.delay, func() {
 		f.dispatcher.OnReplies(tabulator.MemberID{}, []fellow.Reply{{
-			ID: ask.ID, Leaf: ask.Leaf, Kind: fellow.KindSuccess, Index: ask.Index, Version: ask.Version, Shard: ask.Shard,
+			ID: request.ID, Leaf: request.Leaf, Kind: fellow.KindSuccess, Index: request.Index, Version: request.Version, Shard: request.Shard,
 		}})
 	})
 }
--- a/pkg/emulator/leaf.go
+++ b/pkg/emulator/leaf.go
@@ -191,7 +191,7 @@
 
 func (l *Leaf) handleHoldings(ctx *fasthttp.RequestCtx) {
 	l.mu.Lock()
-	response := leaf.Response{RunID: l.startID(), Holdings: l.holdings}
+	response := leaf.Response{RunID: l.runID(), Holdings: l.holdings}
 	l.mu.Unlock()
 	writeResponse(ctx, fasthttp.StatusOK, response)
 }
@@ -223,7 +223,7 @@
 	if refusal != "" {
 		l.fleet.updateCounts(func(c *Counts) { c.Refused++ })
 		l.mu.Lock()
-		response := leaf.Response{ID: request.ID, Reason: refusal, RunID: l.startID(), Holdings: l.holdings}
+		response := leaf.Response{ID: request.ID, Reason: refusal, RunID: l.runID(), Holdings: l.holdings}
 		l.mu.Unlock()
 		writeResponse(ctx, refusalStatus(refusal), response)
 		return
@@ -330,7 +330,7 @@
 	l.mu.Lock()
 	response := leaf.Response{
 		ID: request.ID, Shard: request.Shard, Index: request.Index, Version: request.Version,
-		Hits: hits, RunID: l.startID(), Holdings: l.holdings,
+		Hits: hits, RunID: l.runID(), Holdings: l.holdings,
 	}
 	l.mu.Unlock()
 	l.fleet.updateCounts(func(c *Counts) { c.Answered++ })
@@ -352,7 +352,7 @@
 	l.coldSince = time.Now()
 }
 
-func (l *Leaf) startID() string { return fmt.Sprintf("%s#%d", l.spec.ID, l.startCount) }
+func (l *Leaf) runID() string { return fmt.Sprintf("%s#%d", l.spec.ID, l.startCount) }
 
 func refusalStatus(reason string) int {
 	if reason == leaf.ReasonVersionGone {
--- a/pkg/explainer/explainer.go
+++ b/pkg/explainer/explainer.go
@@ -2,7 +2,7 @@
 // latest line that reports its end gives the outcome, and the failed attempts
 // give the cause:
 //
-//	request 9c41 at entry-2: refused with 503 after 12 ms: every leaf that was asked refused it without running it (i-1, i-2)
+//	request 9c41 at entry-2: ended with 502 after 12 ms: the leaf broke off; attempts that brought nothing: failed: i-1
 
 package explainer
 
--- a/pkg/fellow/wire.go
+++ b/pkg/fellow/wire.go
@@ -23,7 +23,7 @@
 const (
 	// ReasonNotOwner means that the instance does not own the leaf.
 	ReasonNotOwner = "not-owner"
-	// ReasonFenced means that the new owner must not send to the leaf yet, because its former owner may still do so.
+	// ReasonFenced means that the new owner must not send to the leaf yet, because its previous owner may still do so.
 	ReasonFenced = "fenced"
 	// ReasonNoLease means that the lease of the owner has expired.
 	ReasonNoLease = "no-lease"
@@ -134,7 +134,7 @@
 		Holdings map[string][]Holding
 	}
 
-	// ReleaseQuery asks the former owner of leafs to give up their ownership.
+	// ReleaseQuery asks the previous owner of leafs to give up their ownership.
 	ReleaseQuery struct {
 		From  tabulator.MemberID
 		To    tabulator.MemberID
@@ -142,10 +142,10 @@
 		Leafs []string
 	}
 
-	// ReleasedLeaf is the state of one leaf that its former owner hands over.
+	// ReleasedLeaf is the state of one leaf that its previous owner hands over.
 	ReleasedLeaf struct {
 		Leaf string
-		// Open is set if the former owner was sending to the leaf.
+		// Open is set if the previous owner was sending to the leaf.
 		Open    bool
 		Running int
 		// RunningUntil is how much longer requests that were sent may run at the leaf.
--- a/pkg/lister/roster_test.go
+++ b/pkg/lister/roster_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestSinceReturnsOnlyChanges(t *testing.T) {
+func TestChangesSinceReturnsOnlyChanges(t *testing.T) {
 	now := time.Minute
 	clock := func() time.Duration { return now }
 	leader, follower := NewRosterStore(clock), NewRosterStore(clock)
--- a/pkg/operator/client.go
+++ b/pkg/operator/client.go
@@ -126,7 +126,7 @@
 	return c.postChange("/data-centre", change)
 }
 
-// Configure adds, promotes or removes one control member and returns the outcome.
+// Configure adds, promotes or removes one control node and returns the outcome.
 func (c *Client) Configure(body ConfigureRequest) (ChangeResult, error) {
 	return c.postChange("/control", body)
 }
--- a/pkg/operator/wire.go
+++ b/pkg/operator/wire.go
@@ -129,7 +129,7 @@
 		Entries []tabulator.HistoryEntry `json:"entries"`
 	}
 
-	// ConfigureRequest is the request body to add, promote or remove one control member.
+	// ConfigureRequest is the request body to add, promote or remove one control node.
 	ConfigureRequest struct {
 		Action controller.ConfigAction `json:"action"`
 		Node   string                  `json:"node"`
--- a/pkg/owner/owned_leaf.go
+++ b/pkg/owner/owned_leaf.go
@@ -33,7 +33,7 @@
 	client    *leaf.Client
 	queued    map[uint64]*pendingRequest
 	holdings  []fellow.Holding
-	startID   string
+	runID     string
 	hasOpened bool
 	hasEnded  bool
 }
--- a/pkg/owner/owned_leaf_exchange.go
+++ b/pkg/owner/owned_leaf_exchange.go
@@ -89,20 +89,20 @@
 	return reply, admitter.ConnectionFailed{}
 }
 
-// hasRestarted reports whether start identifies another process start than the one last seen.
-func (l *ownedLeaf) hasRestarted(start string) bool {
+// hasRestarted reports whether runID identifies another run of the leaf than the one last seen.
+func (l *ownedLeaf) hasRestarted(runID string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.startID != "" && start != "" && l.startID != start
+	return l.runID != "" && runID != "" && l.runID != runID
 }
 
-// updateFrom records the process start and the holdings stated in a response; l.mu must be held.
+// updateFrom records the run identifier and the holdings in a response; l.mu must be held.
 func (l *ownedLeaf) updateFrom(response leaf.Response) {
 	if response.RunID != "" {
-		if l.startID != "" && l.startID != response.RunID {
+		if l.runID != "" && l.runID != response.RunID {
 			l.owner.config.RecordEvent("leaf-restarted", string(l.record.ID), "the leaf started again")
 		}
-		l.startID = response.RunID
+		l.runID = response.RunID
 	}
 	if len(response.Holdings) == 0 {
 		return
--- a/pkg/replicator/harness_test.go
+++ b/pkg/replicator/harness_test.go
@@ -20,8 +20,8 @@
 		core      *Core
 		disk      PersistentState
 		isRunning bool
-		// frozenSteps is the number of steps for which the node stays paused.
-		frozenSteps   int
+		// pausedSteps is the number of steps for which the node stays paused.
+		pausedSteps   int
 		clockOffset   time.Duration
 		applied       []Entry
 		restoredIndex uint64
@@ -101,7 +101,7 @@
 // step passes one input to a node and carries out the output. With mayCrash, the node may crash before, between or after its
 // writes, but before it sends messages.
 func (c *cluster) step(n *testNode, input Input, mayCrash bool) {
-	if !n.isRunning || n.frozenSteps > 0 {
+	if !n.isRunning || n.pausedSteps > 0 {
 		return
 	}
 	out := n.core.Step(input, c.now+n.clockOffset)
@@ -220,7 +220,7 @@
 }
 
 func (c *cluster) requestRead(n *testNode) {
-	if !n.isRunning || n.frozenSteps > 0 {
+	if !n.isRunning || n.pausedSteps > 0 {
 		return
 	}
 	c.lastReadID++
@@ -237,7 +237,7 @@
 		return
 	}
 	if n := c.nodes[message.To]; n != nil {
-		if n.frozenSteps > 0 {
+		if n.pausedSteps > 0 {
 			c.messages = append(c.messages, message)
 		}
 		c.step(n, Receive{Message: cloneMessage(message)}, mayCrash)
@@ -252,27 +252,27 @@
 	c.step(n, Compact{Index: index, Data: []byte(fmt.Sprint(index))}, false)
 }
 
-// resumeFrozen resumes the nodes whose frozen steps have passed. A resumed node gets a read and a proposal before anything else,
+// resumePaused resumes the nodes whose pause has ended. A resumed node gets a read and a proposal before anything else,
 // while its state may be stale.
-func (c *cluster) resumeFrozen(steps int) {
+func (c *cluster) resumePaused(steps int) {
 	for _, id := range c.nodeOrder {
 		n := c.nodes[id]
-		if n == nil || n.frozenSteps == 0 {
+		if n == nil || n.pausedSteps == 0 {
 			continue
 		}
-		n.frozenSteps = max(0, n.frozenSteps-steps)
-		if n.frozenSteps > 0 {
+		n.pausedSteps = max(0, n.pausedSteps-steps)
+		if n.pausedSteps > 0 {
 			continue
 		}
 		c.requestRead(n)
-		c.propose(n, "after a freeze")
+		c.propose(n, "after a pause")
 	}
 }
 
 // settle unblocks all links, resumes and restarts all nodes, and runs the cluster for 8 s so that the nodes converge.
 func (c *cluster) settle() {
 	c.blockedLinks = map[[2]NodeID]bool{}
-	c.resumeFrozen(math.MaxInt)
+	c.resumePaused(math.MaxInt)
 	for _, id := range c.nodeOrder {
 		if n := c.nodes[id]; n != nil && !n.isRunning {
 			c.start(n)
--- a/pkg/replicator/linearizable_test.go
+++ b/pkg/replicator/linearizable_test.go
@@ -69,7 +69,7 @@
 		history := newRegisterHistory(c)
 		for i := range 6000 {
 			c.now += stepTime / 4
-			c.resumeFrozen(1)
+			c.resumePaused(1)
 			history.step(i)
 			if len(c.violations) > 0 {
 				t.Fatalf("seed %d: %s", seed, c.violations[0])
@@ -107,7 +107,7 @@
 
 func (h *registerHistory) startOperation(i int) {
 	for _, n := range h.c.runningNodes() {
-		if !n.core.IsEstablishedLeader() || n.frozenSteps > 0 {
+		if !n.core.IsEstablishedLeader() || n.pausedSteps > 0 {
 			continue
 		}
 		if h.c.random.IntN(2) == 0 {
--- a/pkg/replicator/stateful_test.go
+++ b/pkg/replicator/stateful_test.go
@@ -54,7 +54,7 @@
 	c := newCluster(seed, size)
 	for i := range stepsPerRun {
 		c.now += stepTime / 4
-		c.resumeFrozen(1)
+		c.resumePaused(1)
 		c.randomStep(i)
 		if len(c.violations) > 0 {
 			return c
@@ -92,7 +92,7 @@
 			c.start(n)
 		}
 	case p < 9735:
-		n.frozenSteps = 100 + c.random.IntN(900)
+		n.pausedSteps = 100 + c.random.IntN(900)
 	case p < 9750:
 		other := c.randomNode()
 		c.blockedLinks[[2]NodeID{n.id, other.id}] = true
--- a/pkg/runner/handler.go
+++ b/pkg/runner/handler.go
@@ -13,8 +13,8 @@
 )
 
 // OnRequests handles requests to leafs that this instance owns; address is where the sender expects the replies.
-func (i *Instance) OnRequests(from tabulator.MemberID, address string, asks []fellow.Request) {
-	i.owner.OnRequests(from, address, asks)
+func (i *Instance) OnRequests(from tabulator.MemberID, address string, requests []fellow.Request) {
+	i.owner.OnRequests(from, address, requests)
 }
 
 // OnCancels cancels requests that the sender sent earlier.
@@ -81,7 +81,7 @@
 	return i.controlClient.InForce(revision)
 }
 
-// Configure adds, promotes or removes one member of the control cluster.
+// Configure adds, promotes or removes one control node.
 func (i *Instance) Configure(action controller.ConfigAction, node replicator.NodeID) (controller.ConfigReply, error) {
 	return i.controlClient.Configure(action, node)
 }
--- a/pkg/runner/instance.go
+++ b/pkg/runner/instance.go
@@ -73,7 +73,7 @@
 		controlClient     *controller.Client
 		controlServer     *controller.Server
 		journal           *journaler.Journaler
-		leafLister        *lister.Poller
+		leafPoller        *lister.Poller
 		peerServer        *linker.Server
 		callerServer      *caller.Server
 		operatorServer    *operator.Server
@@ -191,8 +191,8 @@
 	if i.operatorServer != nil {
 		_ = i.operatorServer.Close(serverCloseTimeout)
 	}
-	if i.leafLister != nil {
-		i.leafLister.Close()
+	if i.leafPoller != nil {
+		i.leafPoller.Close()
 	}
 	if i.controlClient != nil {
 		i.controlClient.Close()
@@ -231,7 +231,7 @@
 	i.owner.OnView(view)
 }
 
-func (i *Instance) onRoster(records []coordinator.LeafRecord) {
+func (i *Instance) onLeafList(records []coordinator.LeafRecord) {
 	i.isPlatformFailing.Store(false)
 	i.dispatcher.OnLeafList(records)
 	i.owner.OnLeafList(records)
--- a/pkg/runner/mailbox.go
+++ b/pkg/runner/mailbox.go
@@ -16,7 +16,7 @@
 	handler   fellow.Handler
 	mu        sync.Mutex
 	itemAdded *sync.Cond
-	asks      []fellow.Request
+	requests  []fellow.Request
 	cancels   []uint64
 	replies   []fellow.Reply
 	isClosed  bool
@@ -30,11 +30,13 @@
 	return m
 }
 
-func (m *mailbox) ask(ask fellow.Request) { m.enqueue(func() { m.asks = append(m.asks, ask) }) }
+func (m *mailbox) queueRequest(request fellow.Request) {
+	m.enqueue(func() { m.requests = append(m.requests, request) })
+}
 
-func (m *mailbox) cancel(id uint64) { m.enqueue(func() { m.cancels = append(m.cancels, id) }) }
+func (m *mailbox) queueCancel(id uint64) { m.enqueue(func() { m.cancels = append(m.cancels, id) }) }
 
-func (m *mailbox) reply(reply fellow.Reply) {
+func (m *mailbox) queueReply(reply fellow.Reply) {
 	m.enqueue(func() { m.replies = append(m.replies, reply) })
 }
 
@@ -53,11 +55,11 @@
 func (m *mailbox) run() {
 	for {
 		m.mu.Lock()
-		for !m.isClosed && len(m.asks)+len(m.cancels)+len(m.replies) == 0 {
+		for !m.isClosed && len(m.requests)+len(m.cancels)+len(m.replies) == 0 {
 			m.itemAdded.Wait()
 		}
-		asks, cancels, replies, isClosed := m.asks, m.cancels, m.replies, m.isClosed
-		m.asks, m.cancels, m.replies = nil, nil, nil
+		requests, cancels, replies, isClosed := m.requests, m.cancels, m.replies, m.isClosed
+		m.requests, m.cancels, m.replies = nil, nil, nil
 		m.mu.Unlock()
 		if isClosed {
 			return
@@ -68,8 +70,8 @@
 		if len(cancels) > 0 {
 			m.handler.OnCancels(m.self, cancels)
 		}
-		if len(asks) > 0 {
-			m.handler.OnRequests(m.self, "", asks)
+		if len(requests) > 0 {
+			m.handler.OnRequests(m.self, "", requests)
 		}
 	}
 }
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -46,7 +46,7 @@
 	}
 	i.owner.Run()
 	i.controlClient.Run()
-	i.leafLister.Run()
+	i.leafPoller.Run()
 	return nil
 }
 
@@ -73,18 +73,18 @@
 	})
 	i.dispatcher = dispatcher.New(dispatcher.Config{
 		Self: i.self, Now: i.now, WallClock: time.Now, LeaseHeld: i.controlClient.LeaseHeld, Transport: i.transport,
-		Random: i.newRandom(2), Policy: i.options.policy, NoHedges: i.options.isHedgingDisabled, IgnoresOverload: i.options.isLoadSheddingDisabled,
+		Random: i.newRandom(2), Policy: i.options.policy, DisablesHedges: i.options.isHedgingDisabled, DisablesLoadShedding: i.options.isLoadSheddingDisabled,
 		UsesLocalOwner: i.options.staticSplit > 0,
 	}, i.traces, i.metrics)
 	i.owner = owner.New(owner.Config{
 		Self: i.self, DataCentre: i.settings.DataCentre, Now: i.now, LeaseHeld: i.controlClient.LeaseHeld,
-		SendReply: i.transport.Reply, RequestRelease: i.transport.RequestRelease, RecordEvent: i.timeline.Add, Dial: i.options.dialLeaf,
+		SendReply: i.transport.SendReply, RequestRelease: i.transport.RequestRelease, RecordEvent: i.timeline.Add, Dial: i.options.dialLeaf,
 		Growth: i.options.limitGrowth, SplitInstances: i.options.staticSplit,
 	}, i.metrics)
-	i.transport.onLost = i.dispatcher.OnUndelivered
+	i.transport.onUndelivered = i.dispatcher.OnUndelivered
 	i.mailbox = newMailbox(i.self, i)
 	i.transport.mailbox = i.mailbox
-	i.leafLister = lister.New(i.settings.PlatformURL, i.onRoster, i.onPlatformFault)
+	i.leafPoller = lister.New(i.settings.PlatformURL, i.onLeafList, i.onPlatformFault)
 }
 
 // createControlServer opens the data folder and creates the control server if the instance has the control role. An
--- a/pkg/runner/transport.go
+++ b/pkg/runner/transport.go
@@ -18,33 +18,33 @@
 // Messages to the instance itself go through a mailbox. A direct call would
 // run the dispatcher under the lock of the owner, or the reverse.
 type transport struct {
-	linker      *linker.Linker
-	self        tabulator.MemberID
-	selfAddress string
-	mailbox     *mailbox
-	onLost      fellow.UndeliveredFunc
-	mu          sync.Mutex
-	links       map[tabulator.MemberID]*fellow.Link
-	isClosed    bool
+	linker        *linker.Linker
+	self          tabulator.MemberID
+	selfAddress   string
+	mailbox       *mailbox
+	onUndelivered fellow.UndeliveredFunc
+	mu            sync.Mutex
+	links         map[tabulator.MemberID]*fellow.Link
+	isClosed      bool
 }
 
 func newTransport(peerLinker *linker.Linker, self tabulator.MemberID, selfAddress string) *transport {
 	return &transport{linker: peerLinker, self: self, selfAddress: selfAddress, links: map[tabulator.MemberID]*fellow.Link{}}
 }
 
-// Ask queues a request to the owner of a leaf.
-func (t *transport) Ask(owner tabulator.Member, ask fellow.Request) {
+// SendRequest queues a request to the owner of a leaf.
+func (t *transport) SendRequest(owner tabulator.Member, request fellow.Request) {
 	if owner.ID() == t.self {
-		t.mailbox.ask(ask)
+		t.mailbox.queueRequest(request)
 		return
 	}
-	t.linkToMember(owner).QueueRequest(ask)
+	t.linkToMember(owner).QueueRequest(request)
 }
 
 // Cancel queues the cancellation of a request.
 func (t *transport) Cancel(owner tabulator.MemberID, id uint64) {
 	if owner == t.self {
-		t.mailbox.cancel(id)
+		t.mailbox.queueCancel(id)
 		return
 	}
 	t.mu.Lock()
@@ -55,10 +55,10 @@
 	}
 }
 
-// Reply queues a reply to the instance that sent the request.
-func (t *transport) Reply(to tabulator.MemberID, address string, reply fellow.Reply) {
+// SendReply queues a reply to the instance that sent the request.
+func (t *transport) SendReply(to tabulator.MemberID, address string, reply fellow.Reply) {
 	if to == t.self {
-		t.mailbox.reply(reply)
+		t.mailbox.queueReply(reply)
 		return
 	}
 	t.linkTo(to, address).QueueReply(reply)
@@ -81,13 +81,13 @@
 		links = append(links, link)
 	}
 	t.mu.Unlock()
-	silent := 0
+	unresponsive := 0
 	for _, link := range links {
 		if link.IsUnresponsive() {
-			silent++
+			unresponsive++
 		}
 	}
-	return len(links) >= minLinksForCutOff && 2*silent > len(links)
+	return len(links) >= minLinksForCutOff && 2*unresponsive > len(links)
 }
 
 // FetchHoldings returns the index versions and shards that the given leafs of an owner hold, by leaf.
@@ -100,7 +100,7 @@
 	return reply.Holdings, err
 }
 
-// RequestRelease requests a leaf from its former owner; it returns false if the owner did not answer.
+// RequestRelease requests a leaf from its previous owner; it returns false if the owner did not answer.
 func (t *transport) RequestRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.ReleasedLeaf, bool) {
 	query := fellow.ReleaseQuery{From: t.self, To: from.ID(), Epoch: epoch, Leafs: []string{string(id)}}
 	var reply fellow.ReleaseReply
@@ -157,7 +157,7 @@
 	if link := t.links[to]; link != nil {
 		return link
 	}
-	link := fellow.NewReplyLink(t.linker, t.self, t.selfAddress, to, address, t.onLost)
+	link := fellow.NewReplyLink(t.linker, t.self, t.selfAddress, to, address, t.onUndelivered)
 	if t.isClosed {
 		go link.Close()
 		return link
--- a/pkg/steward/control.go
+++ b/pkg/steward/control.go
@@ -86,7 +86,7 @@
 	config := controller.ServerConfig{
 		Instance: settings.peerAddress(settings.Host), Node: node, Linker: c.linker, Store: c.journal, Saved: saved,
 		Now: c.now, Random: rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), xxhash.Sum64String(settings.Instance))),
-		Timeline: timeliner.New(settings.Instance, time.Now), Board: c.rosterStore, RenewalInterval: renewalInterval,
+		Timeline: timeliner.New(settings.Instance, time.Now), RosterStore: c.rosterStore, RenewalInterval: renewalInterval,
 		Discovery: &controller.Discovery{Seeds: func() []string { return c.latestSettings.Load().seedAddresses() }, ExpectedVoters: 2*settings.ToleratedDiskLosses + 1},
 		OnEvent:   c.logEvent,
 	}
--- a/pkg/timeliner/timeliner.go
+++ b/pkg/timeliner/timeliner.go
@@ -97,7 +97,7 @@
 	sort.SliceStable(events, func(i, j int) bool { return events[i].Timestamp.Before(events[j].Timestamp) })
 }
 
-// Before reports whether s is earlier than other.
+// Before reports whether t is earlier than other.
 func (t Timestamp) Before(other Timestamp) bool {
 	if t.Micros != other.Micros {
 		return t.Micros < other.Micros
--- a/pkg/tracer/trace.go
+++ b/pkg/tracer/trace.go
@@ -43,7 +43,7 @@
 		Took     time.Duration `json:"took"`
 		Outcome  string        `json:"outcome"`
 		Reason   string        `json:"reason,omitempty"`
-		// AnsweredShards is the number of shards that answered, out of Total.
+		// AnsweredShards is the number of shards that answered, out of TotalShards.
 		AnsweredShards int `json:"answered"`
 		TotalShards    int `json:"total"`
 		// Restarts is how often the query was restarted with a newer index version because its version was no longer available.
