--- a/pkg/aggregator/service.go
+++ b/pkg/aggregator/service.go
@@ -57,6 +57,6 @@
 // recoverAs turns a panic into the error of the call.
 func recoverAs(err *error) {
 	if reason := recover(); reason != nil {
-		*err = errors.Errorf("call panicked: %v", reason)
+		*err = errors.Errorf("the call failed: %v", reason)
 	}
 }
--- a/pkg/caller/wire.go
+++ b/pkg/caller/wire.go
@@ -79,7 +79,7 @@
 	}
 	switch {
 	case len(query.Services) == 0:
-		return query, errors.New("decode query: services is empty, expected at least one service")
+		return query, errors.New("decode query: services names no service")
 	case len(query.Services) > maxServices:
 		return query, errors.Errorf("decode query: %d services, at most %d are allowed", len(query.Services), maxServices)
 	case len(query.Text) > maxTextBytes:
@@ -87,7 +87,7 @@
 	case len(query.Caller) > maxCallerBytes:
 		return query, errors.Errorf("decode query: caller has %d bytes, at most %d are allowed", len(query.Caller), maxCallerBytes)
 	case query.DeadlineMs != nil && !(*query.DeadlineMs > 0):
-		return query, errors.Errorf("decode query: deadline-ms is %g, expected more than 0", *query.DeadlineMs)
+		return query, errors.Errorf("decode query: deadline-ms is %g and has already passed", *query.DeadlineMs)
 	case query.MinCoverage != nil && !(*query.MinCoverage >= 0 && *query.MinCoverage <= 1):
 		return query, errors.Errorf("decode query: min-coverage is %g, expected 0 to 1", *query.MinCoverage)
 	}
--- a/pkg/controller/client.go
+++ b/pkg/controller/client.go
@@ -340,7 +340,7 @@
 	if isFresh {
 		return nil
 	}
-	return errors.New("read not confirmed by a majority of the control instances")
+	return errors.New("no majority of the control instances confirmed the reading")
 }
 
 func formatRevision(revision uint64) string { return strconv.FormatUint(revision, 10) }
--- a/pkg/controller/service.go
+++ b/pkg/controller/service.go
@@ -212,6 +212,6 @@
 	case <-s.stop:
 		return errStopped
 	case <-time.After(answerTimeout):
-		return errors.New("control instance: operation timed out")
+		return errors.New("the control instance did not answer in time")
 	}
 }
--- a/pkg/emulator/network.go
+++ b/pkg/emulator/network.go
@@ -39,7 +39,7 @@
 	}
 )
 
-var errDataDropped = errors.New("connection broken: data was dropped during a network partition")
+var errDataDropped = errors.New("the connection lost data while it was cut")
 
 // NewNetwork returns a network with the given one-way delay between instances in different data centres.
 func NewNetwork(oneWayDelay time.Duration) *Network {
--- a/pkg/fellow/server.go
+++ b/pkg/fellow/server.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	if !s.acceptSequence(batch.From, batch.Sequence) {
-		return errors.Errorf("exchange: batch %d from %s is a duplicate or too old", batch.Sequence, batch.From)
+		return errors.Errorf("exchange: batch %d of %s came before", batch.Sequence, batch.From)
 	}
 	if len(batch.Replies) > 0 {
 		s.handler.OnReplies(batch.From, batch.Replies)
@@ -87,7 +87,7 @@
 
 func (s *Service) checkIncarnation(to tabulator.MemberID) error {
 	if to != s.self {
-		return errors.Errorf("%s: call is for %s, this is %s", wrongIncarnation, to, s.self)
+		return errors.Errorf("%s: the call is for %s, this is %s", wrongIncarnation, to, s.self)
 	}
 	return nil
 }
--- a/pkg/journaler/journaler.go
+++ b/pkg/journaler/journaler.go
@@ -94,7 +94,7 @@
 		return j.persistErr
 	}
 	if err := j.persist(writes); err != nil {
-		j.persistErr = errors.Wrap(err, "persist writes; no further writes are accepted until the process restarts")
+		j.persistErr = errors.Wrap(err, "persist: nothing is acknowledged until the process starts again")
 	}
 	return j.persistErr
 }
--- a/pkg/journaler/read_log.go
+++ b/pkg/journaler/read_log.go
@@ -24,7 +24,7 @@
 	headerBytes   = 7
 	minChunkKind  = 1
 	maxChunkKind  = 4
-	adviceReplace = "do not delete the file; format a new folder and add it as a new member, as described in docs/OPERATING.md"
+	adviceReplace = "do not delete the file; format a new folder and add it as a new member, as docs/OPERATING.md says"
 )
 
 func readLog(path string, toleratesTornWrites bool) (replicator.PersistentState, error) {
--- a/pkg/journaler/record.go
+++ b/pkg/journaler/record.go
@@ -59,7 +59,7 @@
 	}
 	position := entry.Index - first
 	if position > uint64(len(state.Entries)) {
-		return errors.Errorf("gap in the log: entry %d follows entry %d", entry.Index, first+uint64(len(state.Entries))-1)
+		return errors.Errorf("entry %d follows entry %d", entry.Index, first+uint64(len(state.Entries))-1)
 	}
 	state.Entries = append(state.Entries[:position], entry)
 	return nil
@@ -76,11 +76,11 @@
 func decodeSnapshot(data []byte) (replicator.Snapshot, error) {
 	var snapshot replicator.Snapshot
 	if len(data) < checksumBytes {
-		return snapshot, errors.New("snapshot too short for a checksum")
+		return snapshot, errors.New("the snapshot is too short")
 	}
 	body := data[:len(data)-checksumBytes]
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(data[len(body):]) {
-		return snapshot, errors.New("snapshot checksum mismatch")
+		return snapshot, errors.New("the checksum of the snapshot is wrong")
 	}
 	return snapshot, errors.Wrap(msgpack.Unmarshal(body, &snapshot), "decode snapshot")
 }
--- a/pkg/linker/codec.go
+++ b/pkg/linker/codec.go
@@ -56,7 +56,7 @@
 
 func (r *limitedReader) Read(p []byte) (int, error) {
 	if r.remaining <= 0 {
-		return 0, errors.Errorf("message exceeds %d bytes", maxMessageBytes)
+		return 0, errors.Errorf("message of more than %d bytes", maxMessageBytes)
 	}
 	n, err := r.reader.Read(p[:min(len(p), r.remaining)])
 	r.remaining -= n
@@ -105,5 +105,5 @@
 
 func (c *codec) abort(err error) error {
 	_ = c.Close()
-	return errors.Wrap(err, "encode message")
+	return errors.Wrap(err, "encode a message")
 }
--- a/pkg/linker/peer.go
+++ b/pkg/linker/peer.go
@@ -50,7 +50,7 @@
 	}
 	if p.closed {
 		_ = client.Close()
-		return nil, errors.Errorf("connect to instance %s: the peer is closed", p.address)
+		return nil, errors.Errorf("connect to instance %s: the line is closed", p.address)
 	}
 	p.client = client
 	return client, nil
@@ -137,10 +137,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return nil, errors.Errorf("connect to instance %s: the peer is closed", p.address)
+		return nil, errors.Errorf("connect to instance %s: the line is closed", p.address)
 	}
 	if p.client == nil && time.Since(p.failedAt) < redialBackoff {
-		return nil, errors.Errorf("connect to instance %s: backing off before the next attempt", p.address)
+		return nil, errors.Errorf("connect to instance %s: waiting before the next try", p.address)
 	}
 	return p.client, nil
 }
--- a/pkg/lister/poller.go
+++ b/pkg/lister/poller.go
@@ -89,18 +89,18 @@
 	request.SetRequestURI(p.url)
 	request.Header.Set(fasthttp.HeaderIfNoneMatch, p.version)
 	if err := p.client.DoTimeout(request, response, pollTimeout); err != nil {
-		return errors.Wrap(err, "platform: poll list of leafs")
+		return errors.Wrap(err, "platform: poll the list")
 	}
 	switch response.StatusCode() {
 	case fasthttp.StatusNotModified:
 		return nil
 	case fasthttp.StatusOK:
 	default:
-		return errors.Errorf("platform: poll list of leafs: got status %d, want 200 or 304", response.StatusCode())
+		return errors.Errorf("platform: poll the list: status %d", response.StatusCode())
 	}
 	var list List
 	if err := json.Unmarshal(response.Body(), &list); err != nil {
-		return errors.Wrap(err, "platform: decode list of leafs")
+		return errors.Wrap(err, "platform: decode the list")
 	}
 	if list.Version != "" && list.Version == p.version {
 		return nil
--- a/pkg/operator/server.go
+++ b/pkg/operator/server.go
@@ -101,9 +101,9 @@
 			if !isWrite {
 				return c.Next()
 			}
-			return fiber.NewError(fiber.StatusForbidden, "this token allows reads only; use the write token")
+			return fiber.NewError(fiber.StatusForbidden, "this token may read only; use the write token")
 		}
-		return fiber.NewError(fiber.StatusUnauthorized, "the bearer token is missing or unknown")
+		return fiber.NewError(fiber.StatusUnauthorized, "the bearer token is missing or not known")
 	}
 }
 
@@ -192,7 +192,7 @@
 	if text := c.Query("since"); text != "" {
 		since, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
-			return fiber.NewError(fiber.StatusBadRequest, "since is not an RFC 3339 time such as 2026-01-02T15:04:05Z")
+			return fiber.NewError(fiber.StatusBadRequest, "since is not a time such as 2026-01-02T15:04:05Z")
 		}
 		filter.Since = since
 	}
@@ -206,7 +206,7 @@
 func (s *Server) onTrace(c fiber.Ctx) error {
 	trace, ok := s.config.Backend.Trace(c.Params("id"))
 	if !ok {
-		return fiber.NewError(fiber.StatusNotFound, "this instance has no trace of this query")
+		return fiber.NewError(fiber.StatusNotFound, "this instance keeps no such query")
 	}
 	return c.JSON(trace)
 }
--- a/pkg/router/table.go
+++ b/pkg/router/table.go
@@ -130,7 +130,7 @@
 		t.routes[host] = map[string]*Route{}
 	}
 	if _, exists := t.routes[host][fields.Prefix]; exists {
-		return fmt.Sprintf("host %q and prefix %q are already used by another route", fields.Host, fields.Prefix)
+		return fmt.Sprintf("host %q and prefix %q are taken by another route", fields.Host, fields.Prefix)
 	}
 	route := NewRoute(fields)
 	t.routes[host][fields.Prefix] = route
@@ -140,13 +140,13 @@
 func (t *Table) validate(fields RouteFields) string {
 	switch {
 	case fields.Host == "":
-		return "the host is empty"
+		return "it names no host"
 	case !strings.HasPrefix(fields.Prefix, "/") || !strings.HasSuffix(fields.Prefix, "/"):
-		return fmt.Sprintf("the prefix %q must begin and end with a slash", fields.Prefix)
+		return fmt.Sprintf("the prefix %q does not begin and end with a slash", fields.Prefix)
 	case fields.Timeout <= 0:
-		return "the timeout must be positive"
+		return "the time-out is 0"
 	case fields.MinCoverage < 0 || fields.MinCoverage > 1:
-		return fmt.Sprintf("the minimum coverage %g is not between 0 and 1", fields.MinCoverage)
+		return fmt.Sprintf("the coverage %g is no share from 0 to 1", fields.MinCoverage)
 	}
 	for _, name := range targetServices(fields) {
 		if _, known := t.services[name]; !known {
--- a/pkg/steward/control.go
+++ b/pkg/steward/control.go
@@ -190,7 +190,7 @@
 	case reply.Refused != "":
 		return errors.New(reply.Refused)
 	case reply.Unknown:
-		return errors.New("the outcome of the command is unknown")
+		return errors.New("the outcome is not known")
 	case reply.Result.Verdict != tabulator.VerdictAccepted:
 		return errors.Errorf("%s: %v", reply.Result.Verdict, reply.Result.Faults)
 	}
--- a/pkg/steward/document.go
+++ b/pkg/steward/document.go
@@ -32,7 +32,7 @@
 func decompress(compressed []byte) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDocumentBytes+1))
 	if err == nil && len(body) > maxDocumentBytes {
-		err = errors.Errorf("longer than the limit of %d bytes", maxDocumentBytes)
+		err = errors.Errorf("more than %d bytes", maxDocumentBytes)
 	}
-	return body, errors.Wrap(err, "decompress the routing document")
+	return body, errors.Wrap(err, "expand the routing document")
 }
--- a/pkg/ticketer/ticketer.go
+++ b/pkg/ticketer/ticketer.go
@@ -65,7 +65,7 @@
 func (t *Ticketer) Grant(now time.Duration) (string, error) {
 	t.removeExpired(now)
 	if len(t.records) >= maxTickets {
-		return "", errors.Errorf("grant ticket: limit reached with %d unexpired tickets", len(t.records))
+		return "", errors.Errorf("grant ticket: %d tickets are outstanding", len(t.records))
 	}
 	t.sequence++
 	expiresAt := now + Lifetime
@@ -83,7 +83,7 @@
 		return PhaseExpired, nil, err
 	}
 	if grantor != t.self {
-		return PhaseExpired, nil, errors.Errorf("begin ticket: granted by %s, but this instance is %s", grantor, t.self)
+		return PhaseExpired, nil, errors.Errorf("begin: ticket of %s, this is %s", grantor, t.self)
 	}
 	r := t.records[sequence]
 	if r == nil || now >= r.expiresAt {
@@ -115,7 +115,7 @@
 func Parse(ticket string) (tabulator.MemberID, uint64, error) {
 	fields := strings.Split(ticket, ".")
 	if len(fields) != ticketPartCount {
-		return tabulator.MemberID{}, 0, errors.Errorf("parse ticket %q: got %d parts, want %d", ticket, len(fields), ticketPartCount)
+		return tabulator.MemberID{}, 0, errors.Errorf("parse ticket %q: it has %d parts, expected %d", ticket, len(fields), ticketPartCount)
 	}
 	incarnation, err := strconv.ParseUint(fields[1], 16, 64)
 	if err != nil {
