--- a/pkg/gatekeeper/note.go
+++ b/pkg/gatekeeper/attempt_log.go
@@ -13,10 +13,10 @@
 // logExtraAttempt logs a hedge or retry with the known state of its leaf.
 func (g *Gatekeeper) logExtraAttempt(in *inboundRequest, a *attempt, kind, reason string) {
 	fields := a.upstream.leaf.Fields()
-	snapshot := g.fleet.leafSnapshot(a)
+	stats := g.fleet.leafStats(a)
 	g.config.Log.Info("gatekeeper: another attempt", "request", in.id, "kind", kind, "why", reason, "route", in.route.Name(),
 		"version", in.version, "service", fields.Service, "leaf", fields.ID, "data-centre", fields.DataCentre,
-		"running", snapshot.Running, "limit", snapshot.Limit, "slowness", snapshot.Slowness, "faults", snapshot.FaultRate)
+		"running", stats.Running, "limit", stats.Limit, "slowness", stats.Slowness, "faults", stats.FailureRate)
 }
 
 // logAttemptEnd logs an attempt without a usable response. Successful attempts appear in the log line of the request.
--- a/pkg/gatekeeper/fleet.go
+++ b/pkg/gatekeeper/fleet.go
@@ -30,10 +30,10 @@
 
 type (
 	fleet struct {
-		config *exchanger.Config
-		log    logr.Logger
-		budget hedger.RetryLimit
-		load   *hedger.RequestCounter
+		config         *exchanger.Config
+		log            logr.Logger
+		retryLimit     hedger.RetryLimit
+		requestCounter *hedger.RequestCounter
 		// totalRequests is the number of requests that all instances received in the budget window, or 0 if unknown.
 		totalRequests int
 		// allowsPrewarming reports whether connections may be opened before a request needs them. This is set by the
@@ -75,7 +75,7 @@
 		name      string
 		upstreams []*upstream
 		leafs     []*placer.Leaf
-		allowance *hedger.WindowBudget
+		budget    *hedger.WindowBudget
 	}
 
 	upstream struct {
@@ -86,15 +86,15 @@
 
 func newFleet(exchange *exchanger.Config, config Config) *fleet {
 	f := &fleet{
-		config: exchange, log: config.Log, publish: config.PublishObservation, budget: config.Budget,
-		load: hedger.NewRequestCounter(config.Budget.Window), self: config.Instance, dataCentre: config.DataCentre, now: config.Now,
+		config: exchange, log: config.Log, publish: config.PublishObservation, retryLimit: config.Budget,
+		requestCounter: hedger.NewRequestCounter(config.Budget.Window), self: config.Instance, dataCentre: config.DataCentre, now: config.Now,
 		random: config.Random, instanceCount: 1,
 		services: map[string]*service{}, leafs: map[string]*upstream{}, latencies: map[string]*latencyStats{}, outOfService: map[string]bool{},
 		recentMembers: map[string]recentMember{}, instanceSet: placer.InstanceSet{DataCentre: config.DataCentre, Instances: map[string]int{config.DataCentre: 1}},
 		prewarmRequests: make(chan struct{}, 1), peers: config.Peers,
 	}
 	if f.peers != nil {
-		f.peers.SetFailureHandler(f.publishSilentInstance)
+		f.peers.SetFailureHandler(f.publishUnresponsiveInstance)
 	}
 	go f.prewarmLoop()
 	time.AfterFunc(prewarmDelay, f.startPrewarming)
@@ -171,15 +171,15 @@
 		ID: entry.ID, Service: entry.Service, DataCentre: entry.DataCentre, Address: entry.Address,
 		Slots: entry.Slots, IsDraining: entry.Leaving,
 	}
-	coldUntil := readAt + entry.ColdFor
+	warmUpUntil := readAt + entry.ColdFor
 	if u := f.leafs[entry.ID]; u != nil && u.pool.Address() == entry.Address {
 		if entry.Leaving && !u.leaf.Fields().IsDraining {
 			go u.pool.FailWaiting()
 		}
-		u.leaf.Update(fields, coldUntil, now)
+		u.leaf.Update(fields, warmUpUntil, now)
 		return u
 	}
-	return &upstream{leaf: placer.New(fields, coldUntil, now), pool: exchanger.New(f.config, entry.Address, entry.ID, 1)}
+	return &upstream{leaf: placer.New(fields, warmUpUntil, now), pool: exchanger.New(f.config, entry.Address, entry.ID, 1)}
 }
 
 func (f *fleet) addToService(services map[string]*service, u *upstream) {
@@ -188,9 +188,9 @@
 	if s == nil {
 		s = &service{name: name}
 		if previous := f.services[name]; previous != nil {
-			s.allowance = previous.allowance
+			s.budget = previous.budget
 		} else {
-			s.allowance = hedger.NewWindowBudget(f.budget, f.budgetShare(), f.random.Float64(), f.now())
+			s.budget = hedger.NewWindowBudget(f.retryLimit, f.budgetShare(), f.random.Float64(), f.now())
 		}
 		services[name] = s
 	}
--- a/pkg/gatekeeper/fleet_attempts.go
+++ b/pkg/gatekeeper/fleet_attempts.go
@@ -74,7 +74,7 @@
 		upstream  *upstream
 		latency   *latencyStats
 		startedAt time.Duration
-		ticket    *exchanger.Exchange
+		exchange  *exchanger.Exchange
 		isExtra   bool
 		// isLateRecorded reports whether the attempt has been recorded as late.
 		isLateRecorded bool
@@ -83,7 +83,7 @@
 	}
 )
 
-// latencyOf returns the latencies of a route, identified by its host and path prefix.
+// latencyOf returns the latency statistics of a route, identified by its host and path prefix.
 func (f *fleet) latencyOf(route *router.Route) *latencyStats {
 	path := route.Fields().Host + route.Fields().Prefix
 	stats := f.latencies[path]
@@ -128,7 +128,7 @@
 	if leaf == nil {
 		return nil, denialNoLeaf
 	}
-	if isExtra && !s.allowance.Take(now) {
+	if isExtra && !s.budget.Take(now) {
 		return nil, denialBudget
 	}
 	f.lastID++
@@ -138,8 +138,8 @@
 	return a, denialNone
 }
 
-// leafSnapshot returns the observed state of an attempt's leaf.
-func (f *fleet) leafSnapshot(a *attempt) placer.Stats {
+// leafStats returns the observed state of an attempt's leaf.
+func (f *fleet) leafStats(a *attempt) placer.Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return a.upstream.leaf.Stats(f.now())
@@ -160,23 +160,23 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	leaf := a.upstream.leaf
-	wasAway, wasGone := leaf.IsEjected(now), leaf.IsReplaced()
+	wasEjected, wasReplaced := leaf.IsEjected(now), leaf.IsReplaced()
 	leaf.OnEnd(a.id, outcome, took, a.latency.typical, now)
-	if wasAway != leaf.IsEjected(now) || wasGone != leaf.IsReplaced() {
+	if wasEjected != leaf.IsEjected(now) || wasReplaced != leaf.IsReplaced() {
 		f.logLeafState(leaf, outcome, now)
 	}
 	f.publishLeafState(leaf, now)
 	if outcome == placer.Answered {
 		a.latency.record(took)
 	}
-	f.refundAllowance(a, sent)
+	f.refundBudget(a, sent)
 }
 
 // logLeafState logs that a leaf is no longer used, or is used again.
 func (f *fleet) logLeafState(leaf *placer.Leaf, outcome placer.Outcome, now time.Duration) {
-	snapshot := leaf.Stats(now)
-	f.log.Info("gatekeeper: leaf believed", "leaf", leaf.Fields().ID, "service", leaf.Fields().Service, "away", snapshot.IsEjected,
-		"replaced", leaf.IsReplaced(), "after", outcome.String(), "faults", snapshot.FaultRate, "slowness", snapshot.Slowness)
+	stats := leaf.Stats(now)
+	f.log.Info("gatekeeper: leaf believed", "leaf", leaf.Fields().ID, "service", leaf.Fields().Service, "away", stats.IsEjected,
+		"replaced", leaf.IsReplaced(), "after", outcome.String(), "faults", stats.FailureRate, "slowness", stats.Slowness)
 }
 
 // recordLate records attempts that have exceeded the hedge delay before they end, so that other instances learn of a
@@ -204,14 +204,14 @@
 	if sent {
 		f.publishLeafState(a.upstream.leaf, now)
 	}
-	f.refundAllowance(a, sent)
+	f.refundBudget(a, sent)
 }
 
-func (f *fleet) refundAllowance(a *attempt, sent bool) {
+func (f *fleet) refundBudget(a *attempt, sent bool) {
 	if !a.isExtra || sent {
 		return
 	}
 	if s := f.services[a.upstream.leaf.Fields().Service]; s != nil {
-		s.allowance.Return(f.now())
+		s.budget.Return(f.now())
 	}
 }
--- a/pkg/gatekeeper/fleet_budget.go
+++ b/pkg/gatekeeper/fleet_budget.go
@@ -9,7 +9,7 @@
 func (f *fleet) countRequest(services []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.load.OnRequest(f.now())
+	f.requestCounter.OnRequest(f.now())
 	f.countServices(services)
 }
 
@@ -29,7 +29,7 @@
 	}
 	for _, name := range services {
 		if s := f.services[name]; s != nil {
-			s.allowance.OnRequest(now)
+			s.budget.OnRequest(now)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 func (f *fleet) recentRequests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.load.Requests(f.now())
+	return f.requestCounter.Requests(f.now())
 }
 
 // setTotalRequests sets the number of requests that all instances received in the budget window, and adapts the budget
@@ -54,10 +54,10 @@
 func (f *fleet) allocateBudget() {
 	share := f.budgetShare()
 	for _, s := range f.services {
-		s.allowance.SetShare(f.budget, share)
+		s.budget.SetShare(f.retryLimit, share)
 	}
 }
 
 func (f *fleet) budgetShare() float64 {
-	return hedger.InstanceShare(f.load.Requests(f.now()), f.totalRequests, f.instanceCount)
+	return hedger.InstanceShare(f.requestCounter.Requests(f.now()), f.totalRequests, f.instanceCount)
 }
--- a/pkg/gatekeeper/fleet_observations.go
+++ b/pkg/gatekeeper/fleet_observations.go
@@ -20,30 +20,30 @@
 	maxSlowShare = 0.5
 	// instancePrefix marks observations of instances that gather shards, as opposed to leafs.
 	instancePrefix = "instance:"
-	// maxSilenceAge is the age up to which another instance's observation of a silent gatherer is applied. After that
+	// maxUnresponsiveAge is the age up to which another instance's observation of an unresponsive gatherer is applied. After that
 	// time the gatherer has been probed.
-	maxSilenceAge = time.Second
+	maxUnresponsiveAge = time.Second
 )
 
-// publishLeafState publishes what an attempt showed of its leaf, unless most leafs look slow from this instance. It
+// publishLeafState publishes the state of a leaf after an attempt, unless most leafs look slow from this instance. It
 // publishes nothing about leafs of a shard that this instance gathers, because the other instances do not query them.
 func (f *fleet) publishLeafState(leaf *placer.Leaf, now time.Duration) {
-	observation, isNews := leaf.Observe(now)
+	observation, shouldShare := leaf.Observe(now)
 	slow := 0.0
 	if observation.IsSlow {
 		slow = 1
 	}
 	f.slowShare += slowShareGain * (slow - f.slowShare)
-	if !isNews || f.publish == nil || f.slowShare > maxSlowShare || f.assignment.plan.IsPrimary(f.self, leaf.Fields().Service) {
+	if !shouldShare || f.publish == nil || f.slowShare > maxSlowShare || f.assignment.plan.IsPrimary(f.self, leaf.Fields().Service) {
 		return
 	}
 	f.publish(spreader.Observation{
-		Leaf: leaf.Fields().ID, Slowness: observation.Slowness, FailureRate: observation.FaultRate, IsSlow: observation.IsSlow,
+		Leaf: leaf.Fields().ID, Slowness: observation.Slowness, FailureRate: observation.FailureRate, IsSlow: observation.IsSlow,
 		SlowFor: observation.SlowFor, SeenAt: observation.SeenAt, IsGone: observation.IsReplaced,
 	})
 }
 
-// applyObservations applies what other instances observed of leafs and of instances that gather shards.
+// applyObservations applies other instances' observations of leafs and of instances that gather shards.
 func (f *fleet) applyObservations(observations []spreader.Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,11 +51,11 @@
 	for _, observation := range observations {
 		u := f.leafs[observation.Leaf]
 		if u == nil {
-			f.applySilentInstance(observation, now)
+			f.applyUnresponsiveInstance(observation, now)
 			continue
 		}
 		isChanged := u.leaf.Apply(placer.Observation{
-			Slowness: observation.Slowness, FaultRate: observation.FailureRate, IsSlow: observation.IsSlow, SlowFor: observation.SlowFor, SeenAt: observation.SeenAt,
+			Slowness: observation.Slowness, FailureRate: observation.FailureRate, IsSlow: observation.IsSlow, SlowFor: observation.SlowFor, SeenAt: observation.SeenAt,
 			IsReplaced: observation.IsGone,
 		})
 		if isChanged {
@@ -65,18 +65,18 @@
 	}
 }
 
-// publishSilentInstance publishes that an instance that gathers shards is silent. Otherwise each of the other instances
-// would find out through a late query.
-func (f *fleet) publishSilentInstance(instance string) {
+// publishUnresponsiveInstance publishes that an instance that gathers shards is unresponsive. Otherwise each of the other
+// instances would find out through a late query.
+func (f *fleet) publishUnresponsiveInstance(instance string) {
 	if f.publish != nil {
 		f.publish(spreader.Observation{Leaf: instancePrefix + instance, IsGone: true, SeenAt: f.now()})
 	}
 }
 
-// applySilentInstance applies another instance's observation that an instance that gathers shards is silent.
-func (f *fleet) applySilentInstance(observation spreader.Observation, now time.Duration) {
+// applyUnresponsiveInstance applies another instance's observation that an instance that gathers shards is unresponsive.
+func (f *fleet) applyUnresponsiveInstance(observation spreader.Observation, now time.Duration) {
 	instance, isInstance := strings.CutPrefix(observation.Leaf, instancePrefix)
-	if isInstance && f.peers != nil && now-observation.SeenAt < maxSilenceAge {
+	if isInstance && f.peers != nil && now-observation.SeenAt < maxUnresponsiveAge {
 		f.peers.Suspect(instance)
 	}
 }
--- a/pkg/gatekeeper/fleet_observations_test.go
+++ b/pkg/gatekeeper/fleet_observations_test.go
@@ -58,7 +58,7 @@
 			select {
 			case observation := <-published:
 				if !c.wantPublished || observation.Leaf != "card-0" || observation.FailureRate < 0.2 {
-					t.Errorf("got observation %+v, want one of card-0 with faults of at least 0.2: %v", observation, c.wantPublished)
+					t.Errorf("got observation %+v, want one of card-0 with a failure rate of at least 0.2: %v", observation, c.wantPublished)
 				}
 			case <-time.After(100 * time.Millisecond):
 				if c.wantPublished {
--- a/pkg/gatekeeper/fleet_slices.go
+++ b/pkg/gatekeeper/fleet_slices.go
@@ -23,7 +23,7 @@
 	gathererKeptConnections = 2
 	// standbyConnections limits the connections to a leaf whose shard another instance gathers.
 	standbyConnections = 4
-	// reportQuantile is the share of first reports that arrive before an instance is considered silent.
+	// reportQuantile is the share of first reports that arrive before an instance is considered unresponsive.
 	reportQuantile = 0.98
 )
 
@@ -34,8 +34,8 @@
 		addresses map[string]string
 		shards    []slicer.Shard
 		plan      slicer.Plan
-		// isDirect reports whether this instance queries the leafs itself, because instances receive so many requests
-		// that slices do not pay off.
+		// isDirect reports whether this instance queries the leafs itself, because the request rate per instance is too
+		// high for slices.
 		isDirect bool
 	}
 )
@@ -100,7 +100,7 @@
 // chooseQueryMode decides by the request rate whether shards are gathered in slices, and reallocates the connections if
 // that changes.
 func (f *fleet) chooseQueryMode() {
-	requestsPerSecond := float64(f.totalRequests) / f.budget.Window.Seconds() / float64(max(1, f.instanceCount))
+	requestsPerSecond := float64(f.totalRequests) / f.retryLimit.Window.Seconds() / float64(max(1, f.instanceCount))
 	direct := !slicer.ShouldSlice(!f.assignment.isDirect, requestsPerSecond)
 	if direct == f.assignment.isDirect {
 		return
--- a/pkg/gatekeeper/gatekeeper.go
+++ b/pkg/gatekeeper/gatekeeper.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	// maxAnswerBytes limits the response body of one upstream.
-	maxAnswerBytes = 16 << 20
+	// maxResponseBytes limits the response body of one upstream.
+	maxResponseBytes = 16 << 20
 	// defaultBodyMemoryBytes limits the request and response bodies buffered at one time when the instance has no
 	// memory limit.
 	defaultBodyMemoryBytes = 64 << 20
@@ -45,8 +45,8 @@
 	defaultIdleTimeout = 60 * time.Second
 	// unreadyRetryAfter is the shortest Retry-After sent while the instance does not know its routes.
 	unreadyRetryAfter = 200 * time.Millisecond
-	// answerMargin is subtracted from the caller's deadline so that the response arrives in time.
-	answerMargin = 20 * time.Millisecond
+	// responseMargin is subtracted from the caller's deadline so that the response arrives in time.
+	responseMargin = 20 * time.Millisecond
 )
 
 type (
@@ -64,7 +64,7 @@
 		Headers    Headers
 		Instance   string
 		DataCentre string
-		// Budget limits the repeated requests that all instances together send to a service.
+		// Budget limits the hedges and retries that all instances together send to a service.
 		Budget hedger.RetryLimit
 		// CallerRoundTrip is the network time of a request and its response between caller and instance.
 		CallerRoundTrip time.Duration
@@ -117,7 +117,7 @@
 	}
 	g.counters = newCounters(g.metrics)
 	exchange := &exchanger.Config{
-		Headers: &g.config.Headers.Headers, Dial: config.Dial, MaxResponseBytes: maxAnswerBytes, Quota: g.bodyMemory, OnConnect: g.onConnect,
+		Headers: &g.config.Headers.Headers, Dial: config.Dial, MaxResponseBytes: maxResponseBytes, Quota: g.bodyMemory, OnConnect: g.onConnect,
 	}
 	g.fleet = newFleet(exchange, config)
 	g.server = &http.Server{Handler: g, IdleTimeout: defaultIdleTimeout, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: g.connections.onState}
@@ -182,7 +182,7 @@
 // SetTotalRequests sets the number of requests that all instances received within the retry budget window.
 func (g *Gatekeeper) SetTotalRequests(total int) { g.fleet.setTotalRequests(total) }
 
-// ApplyObservations applies what other instances observed of leafs and of instances that gather shards.
+// ApplyObservations applies other instances' observations of leafs and of instances that gather shards.
 func (g *Gatekeeper) ApplyObservations(observations []spreader.Observation) {
 	g.fleet.applyObservations(observations)
 }
@@ -239,7 +239,7 @@
 
 // giveUpAt returns the time by which the request must be answered.
 func (in *inboundRequest) giveUpAt() time.Time {
-	giveUp := in.deadline.Add(-answerMargin)
+	giveUp := in.deadline.Add(-responseMargin)
 	if routeEnd := in.arrivedAt.Add(in.route.Timeout()); routeEnd.Before(giveUp) {
 		return routeEnd
 	}
--- a/pkg/gatekeeper/plain.go
+++ b/pkg/gatekeeper/plain.go
@@ -19,18 +19,18 @@
 const (
 	// overloadRetryAfter is the Retry-After of a request that no leaf, or this instance, had capacity for.
 	overloadRetryAfter = 250 * time.Millisecond
-	// onlyShard is the shard index of a plain request in gatherer.Course, which scattered queries use as well.
+	// onlyShard is the shard index of a plain request, which gatherer.Execution treats as a query with one shard.
 	onlyShard = 0
 )
 
 type (
 	// forwarder sends one plain request to leafs until one of them answers it.
 	forwarder struct {
-		gate    *Gatekeeper
-		in      *inboundRequest
-		service string
-		course  *gatherer.Execution
-		tried   []*placer.Leaf
+		gate      *Gatekeeper
+		in        *inboundRequest
+		service   string
+		execution *gatherer.Execution
+		tried     []*placer.Leaf
 		// hasReachedLeaf reports whether a request may have reached a leaf. Further attempts are then charged to the
 		// retry budget.
 		hasReachedLeaf bool
@@ -56,7 +56,7 @@
 	defer timer.Stop()
 	for {
 		now := g.config.Now()
-		switch f.course.Decide(now) {
+		switch f.execution.Decide(now) {
 		case gatherer.Exhausted:
 			f.fail(w)
 			return
@@ -64,12 +64,12 @@
 			f.failOnTimeout(w)
 			return
 		}
-		if len(f.course.ShardsToHedge(now)) > 0 {
+		if len(f.execution.ShardsToHedge(now)) > 0 {
 			g.fleet.recordLate(f.attempts)
 			f.hasReachedLeaf = true
 			f.startAttempt(selectHealthy)
 		}
-		timer.Reset(f.course.NextCheck(now) - now)
+		timer.Reset(f.execution.NextCheck(now) - now)
 		select {
 		case end := <-f.ends:
 			if f.onEnd(w, end) {
@@ -96,7 +96,7 @@
 		HedgeDelay: g.hedgeDelay(in), SoftDeadline: giveUp, LateDeadline: giveUp, Deadline: giveUp,
 	}
 	return &forwarder{
-		gate: g, in: in, service: service, course: gatherer.New(plan), ends: make(chan completion, maxPlainAttempts),
+		gate: g, in: in, service: service, execution: gatherer.New(plan), ends: make(chan completion, maxPlainAttempts),
 		lastFailure: attemptFailure{reason: "no leaf of the service is known"},
 	}
 }
@@ -118,7 +118,7 @@
 		g.counters.countDenial(reason)
 	}
 	if a == nil {
-		f.course.OnDenied(onlyShard, g.config.Now())
+		f.execution.OnDenied(onlyShard, g.config.Now())
 		return
 	}
 	switch {
@@ -131,8 +131,8 @@
 	}
 	f.tried = append(f.tried, a.upstream.leaf)
 	f.attempts = append(f.attempts, a)
-	f.course.OnSent(onlyShard, g.config.Now())
-	a.ticket = a.upstream.pool.Start(&f.in.request, func(result exchanger.Result) {
+	f.execution.OnSent(onlyShard, g.config.Now())
+	a.exchange = a.upstream.pool.Start(&f.in.request, func(result exchanger.Result) {
 		f.ends <- completion{attempt: a, result: result}
 	})
 }
@@ -159,7 +159,7 @@
 	} else {
 		end.result.Release()
 	}
-	allowsRetry := f.course.OnFailure(onlyShard, mayHaveRun)
+	allowsRetry := f.execution.OnFailure(onlyShard, mayHaveRun)
 	if mayHaveRun && !f.in.route.Idempotent() {
 		f.fail(w)
 		return true
@@ -180,8 +180,8 @@
 // close cancels the attempts that are still running, at their leafs as well, and releases unused responses.
 func (f *forwarder) close() {
 	for _, a := range f.attempts {
-		sent := a.ticket.MaybeSent()
-		a.ticket.Abandon(true)
+		sent := a.exchange.MaybeSent()
+		a.exchange.Abandon(true)
 		f.gate.fleet.abandon(a, sent)
 	}
 	if f.failureResponse != nil {
@@ -203,8 +203,8 @@
 	running := f.attempts
 	f.attempts = nil
 	for _, a := range running {
-		sent := a.ticket.MaybeSent()
-		a.ticket.Abandon(true)
+		sent := a.exchange.MaybeSent()
+		a.exchange.Abandon(true)
 		elapsed := g.config.Now() - a.startedAt
 		g.logAttemptEnd(f.in, a, placer.Unanswered, exchanger.Result{MaybeSent: sent, ResponseTime: elapsed})
 		g.fleet.finish(a, placer.Unanswered, elapsed, sent)
--- a/pkg/gatekeeper/scatter.go
+++ b/pkg/gatekeeper/scatter.go
@@ -29,9 +29,9 @@
 	// query is the state of one request that is scattered over the shards of its route. A single goroutine sends, waits and
 	// merges. The connection readers pass results to it through the completions channel.
 	query struct {
-		gate     *Gatekeeper
-		in       *inboundRequest
-		progress *gatherer.Execution
+		gate      *Gatekeeper
+		in        *inboundRequest
+		execution *gatherer.Execution
 		// shards holds the service name of each shard. Other fields refer to a shard by its index here.
 		shards []string
 		// tried holds, by shard, the leafs that the next attempt must not use.
@@ -48,13 +48,13 @@
 		delegated []*delegatedSlice
 		reports   chan sliceReport
 		top       *gatherer.Top
-		// meter limits the memory held by parts of the query.
-		meter *exchanger.Quota
+		// quota limits the memory that the parts of the query hold.
+		quota *exchanger.Quota
 		// proofs holds the proof headers of the parts.
 		proofs []string
-		// repeats counts the attempts that count against the retry budget.
-		repeats int
-		// overBudget counts the repeated requests that the retry budget denied.
+		// extraAttempts counts the attempts that count against the retry budget.
+		extraAttempts int
+		// overBudget counts the hedges and retries that the retry budget denied.
 		overBudget int
 		plan       gatherer.Plan
 	}
@@ -78,12 +78,12 @@
 	defer timer.Stop()
 	for {
 		now := g.config.Now()
-		if verdict := q.progress.Decide(now); verdict != gatherer.Continue {
-			q.respond(w, verdict)
+		if decision := q.execution.Decide(now); decision != gatherer.Continue {
+			q.respond(w, decision)
 			return
 		}
 		q.sendDueAttempts(now)
-		timer.Reset(q.progress.NextCheck(now) - now)
+		timer.Reset(q.execution.NextCheck(now) - now)
 		select {
 		case c := <-q.completions:
 			q.onCompletion(c)
@@ -93,7 +93,7 @@
 		case <-timer.C:
 		case <-r.Context().Done():
 			g.counters.callersDisconnected.Inc()
-			g.config.Log.Info("gatekeeper: the caller left", "request", in.id, "parts", q.progress.Parts())
+			g.config.Log.Info("gatekeeper: the caller left", "request", in.id, "parts", q.execution.Parts())
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -119,22 +119,22 @@
 func (g *Gatekeeper) newQueryWithPlan(in *inboundRequest, plan gatherer.Plan) *query {
 	shards := in.route.Shards()
 	return &query{
-		gate: g, in: in, progress: gatherer.New(plan), plan: plan, shards: shards, tried: make([][]*placer.Leaf, len(shards)),
+		gate: g, in: in, execution: gatherer.New(plan), plan: plan, shards: shards, tried: make([][]*placer.Leaf, len(shards)),
 		mayHaveRun: make([][]*placer.Leaf, len(shards)), reached: make([]bool, len(shards)), delegated: make([]*delegatedSlice, len(shards)),
 		completions: make(chan completion, len(shards)*in.route.MaxAttempts()), reports: make(chan sliceReport, len(shards)),
 		top:   gatherer.NewTop(in.route.TopRecords()),
-		meter: exchanger.NewQuota(int64(queryMemoryShare*float64(g.config.BodyMemoryBytes)), g.bodyMemory),
+		quota: exchanger.NewQuota(int64(queryMemoryShare*float64(g.config.BodyMemoryBytes)), g.bodyMemory),
 	}
 }
 
 // sendDueAttempts sends hedges for late shards and retries for shards whose backoff has ended.
 func (q *query) sendDueAttempts(now time.Duration) {
-	for _, shard := range q.reclaimSilentSlices(q.progress.ShardsToHedge(now)) {
+	for _, shard := range q.reclaimOverdueSlices(q.execution.ShardsToHedge(now)) {
 		q.gate.fleet.recordLate(q.sentAttempts(shard))
 		q.reached[shard] = true
-		q.dispatch(shard, q.hedgeNeed(now))
+		q.dispatch(shard, q.hedgeSelection(now))
 	}
-	for _, shard := range q.progress.ShardsToRetry(now) {
+	for _, shard := range q.execution.ShardsToRetry(now) {
 		q.tried[shard] = slices.Clone(q.mayHaveRun[shard])
 		q.dispatch(shard, selectAny)
 	}
@@ -173,7 +173,7 @@
 	q.gate.fleet.finish(c.attempt, outcome, c.result.ResponseTime, c.result.MaybeSent)
 	q.inFlight = removeAttempt(q.inFlight, c.attempt)
 	if outcome == placer.Answered {
-		if q.progress.OnPart(c.shard) {
+		if q.execution.OnPart(c.shard) {
 			q.proofs = append(q.proofs, proof)
 			q.top.Add(c.result.Response.Body())
 		}
@@ -188,7 +188,7 @@
 	if mayHaveRun {
 		q.mayHaveRun[c.shard] = append(q.mayHaveRun[c.shard], c.attempt.upstream.leaf)
 	}
-	if q.progress.OnFailure(c.shard, mayHaveRun) {
+	if q.execution.OnFailure(c.shard, mayHaveRun) {
 		q.gate.counters.retries.Inc()
 		q.dispatch(c.shard, selectAny)
 	}
@@ -203,7 +203,7 @@
 func (q *query) sentAttempts(shard int) []*attempt {
 	var sent []*attempt
 	for _, a := range q.inFlight {
-		if a.shard == shard && a.ticket.MaybeSent() {
+		if a.shard == shard && a.exchange.MaybeSent() {
 			sent = append(sent, a)
 		}
 	}
@@ -218,11 +218,11 @@
 // of the attempts so that the leafs stop work.
 func (q *query) cancelOutstanding(callerLeft bool) {
 	for _, a := range q.inFlight {
-		sent := a.ticket.MaybeSent()
-		a.ticket.Abandon(callerLeft)
+		sent := a.exchange.MaybeSent()
+		a.exchange.Abandon(callerLeft)
 		q.gate.fleet.abandon(a, sent)
 	}
-	q.dropSlices(callerLeft)
+	q.cancelSlices(callerLeft)
 	for {
 		select {
 		case c := <-q.completions:
@@ -233,11 +233,11 @@
 	}
 }
 
-func (q *query) respond(w http.ResponseWriter, verdict gatherer.Decision) {
+func (q *query) respond(w http.ResponseWriter, decision gatherer.Decision) {
 	g := q.gate
 	took := time.Since(q.in.arrivedAt)
-	missing := len(q.shards) - q.progress.Parts()
-	switch verdict {
+	missing := len(q.shards) - q.execution.Parts()
+	switch decision {
 	case gatherer.Exhausted:
 		q.fail(w, http.StatusBadGateway, "too few shards answered, and no more can", took)
 		return
@@ -260,7 +260,7 @@
 	_, _ = w.Write(body)
 	g.counters.duration("scatter").Update(took.Seconds())
 	g.config.Log.Info("gatekeeper: answered", "request", q.in.id, "route", q.in.route.Name(), "version", q.in.version,
-		"parts", q.progress.Parts(), "missing", q.describeMissing(), "handed", q.gathererNames(), "extra", q.repeats, "over-budget", q.overBudget, "took-ms", took.Milliseconds(),
+		"parts", q.execution.Parts(), "missing", q.describeMissing(), "handed", q.gathererNames(), "extra", q.extraAttempts, "over-budget", q.overBudget, "took-ms", took.Milliseconds(),
 		"objective-ms", q.in.route.Objective().Milliseconds())
 }
 
@@ -276,7 +276,7 @@
 func (q *query) fail(w http.ResponseWriter, status int, reason string, took time.Duration) {
 	q.gate.refuse(w, refusal{
 		id: q.in.id, status: status, reason: reason, missingShards: q.describeMissing(), route: q.in.route.Name(), version: q.in.version, took: took,
-		attempts: len(q.shards) + q.repeats, callerTimeout: q.in.deadline.Sub(q.in.arrivedAt),
+		attempts: len(q.shards) + q.extraAttempts, callerTimeout: q.in.deadline.Sub(q.in.arrivedAt),
 	})
 }
 
@@ -289,7 +289,7 @@
 	omitted := 0
 	for shard, name := range q.shards {
 		switch {
-		case q.progress.HasPart(shard):
+		case q.execution.HasPart(shard):
 		case len(missing) < maxLoggedMissing:
 			missing = append(missing, name+"("+q.describeAttempts(shard)+")")
 		default:
@@ -306,7 +306,7 @@
 func (q *query) describeAttempts(shard int) string {
 	var descriptions []string
 	if s := q.delegated[shard]; s != nil {
-		descriptions = append(descriptions, s.call.Instance()+": "+s.openShards[shard])
+		descriptions = append(descriptions, s.call.Instance()+": "+s.pendingShards[shard])
 	}
 	for _, leaf := range q.tried[shard] {
 		descriptions = append(descriptions, leaf.Fields().ID+":"+q.describeOutcome(shard, leaf))
@@ -321,7 +321,7 @@
 func (q *query) describeOutcome(shard int, leaf *placer.Leaf) string {
 	for _, a := range q.inFlight {
 		if a.shard == shard && a.upstream.leaf == leaf {
-			if a.ticket == nil || !a.ticket.MaybeSent() {
+			if a.exchange == nil || !a.exchange.MaybeSent() {
 				return "waits for a connection"
 			}
 			return "silent"
--- a/pkg/gatekeeper/scatter_ask.go
+++ b/pkg/gatekeeper/scatter_dispatch.go
@@ -7,8 +7,8 @@
 )
 
 // dispatchAll sends the first attempt of each shard. It selects the leafs for all shards before it sends anything, because the
-// number of attempts expected in time decides their deadlines, and whether a shard without a ready leaf can be left out. If too
-// few shards for an answer have a leaf, it sends nothing and returns false.
+// number of attempts expected in time decides their deadlines, and whether a shard can be left out if all its leafs are at their
+// concurrency limit. If too few shards for an answer have a leaf, it sends nothing and returns false.
 func (q *query) dispatchAll() bool {
 	groups := q.groupByGatherer()
 	q.gate.fleet.countRequest(q.localServices(groups))
@@ -30,12 +30,12 @@
 		case q.delegated[shard] != nil:
 			expectedInTime++
 		case a == nil:
-			q.progress.OnDenied(shard, q.gate.config.Now())
+			q.execution.OnDenied(shard, q.gate.config.Now())
 		case a.startedAt+a.expectedDuration <= q.plan.SoftDeadline:
 			expectedInTime++
 		}
 	}
-	q.progress.SetExpectedParts(expectedInTime)
+	q.execution.SetExpectedParts(expectedInTime)
 	for shard, a := range placed {
 		if a != nil {
 			q.send(shard, a)
@@ -43,7 +43,7 @@
 	}
 }
 
-// placeAll selects a leaf for each shard that this instance gathers. It selects leafs that are not ready only if the
+// placeAll selects a leaf for each shard that this instance gathers. It selects leafs at their concurrency limit only if the
 // answer would otherwise lack too many shards. It reports whether the placed and delegated shards are enough for an answer.
 func (q *query) placeAll(groups map[string][]int) (placed []*attempt, enough bool) {
 	placed = make([]*attempt, len(q.shards))
@@ -57,13 +57,13 @@
 }
 
 // placeUnplaced selects a leaf for each of the shards that has none yet, and returns the number of shards it placed.
-func (q *query) placeUnplaced(placed []*attempt, shards []int, need leafSelection) int {
+func (q *query) placeUnplaced(placed []*attempt, shards []int, selection leafSelection) int {
 	placedCount := 0
 	for _, shard := range shards {
 		if placed[shard] != nil {
 			continue
 		}
-		if placed[shard], _ = q.place(shard, need); placed[shard] != nil {
+		if placed[shard], _ = q.place(shard, selection); placed[shard] != nil {
 			placedCount++
 		}
 	}
@@ -79,13 +79,13 @@
 }
 
 // dispatch selects another leaf of the shard and sends it the request, as a hedge or as a retry.
-func (q *query) dispatch(shard int, need leafSelection) {
-	a, reason := q.place(shard, need)
+func (q *query) dispatch(shard int, selection leafSelection) {
+	a, reason := q.place(shard, selection)
 	if a == nil {
-		q.onDenied(shard, need, reason)
+		q.onDenied(shard, selection, reason)
 		return
 	}
-	if need != selectAny {
+	if selection != selectAny {
 		q.gate.counters.hedges.Inc()
 		q.gate.logExtraAttempt(q.in, a, "hedge", "the first leaf is late")
 	} else {
@@ -96,26 +96,26 @@
 
 // onDenied schedules the shard for another attempt after a backoff. If no leaf is left and all leafs tried may have run the
 // request, it marks the shard as lost.
-func (q *query) onDenied(shard int, need leafSelection, reason denial) {
-	if need == selectAny && reason == denialNoLeaf && len(q.tried[shard]) == len(q.mayHaveRun[shard]) {
-		q.progress.OnExhausted(shard)
+func (q *query) onDenied(shard int, selection leafSelection, reason denial) {
+	if selection == selectAny && reason == denialNoLeaf && len(q.tried[shard]) == len(q.mayHaveRun[shard]) {
+		q.execution.OnExhausted(shard)
 		return
 	}
-	q.progress.OnDenied(shard, q.gate.config.Now())
+	q.execution.OnDenied(shard, q.gate.config.Now())
 }
 
-// hedgeNeed returns the requirement on the leaf of a hedge: a sound leaf, or any leaf with capacity if the answer is overdue
-// and still lacks required shards.
-func (q *query) hedgeNeed(now time.Duration) leafSelection {
-	if q.progress.IsOverdue(now) {
+// hedgeSelection returns which leafs may be selected for a hedge: only healthy ones, or all below their concurrency limit if the
+// answer is overdue and still lacks required shards.
+func (q *query) hedgeSelection(now time.Duration) leafSelection {
+	if q.execution.IsOverdue(now) {
 		return selectWithinLimit
 	}
 	return selectHealthy
 }
 
 // place begins an attempt at a leaf of the shard without sending it, or returns the reason why none can begin.
-func (q *query) place(shard int, need leafSelection) (*attempt, denial) {
-	a, reason := q.gate.fleet.newAttempt(q.in.route, q.shards[shard], q.tried[shard], need, q.reached[shard])
+func (q *query) place(shard int, selection leafSelection) (*attempt, denial) {
+	a, reason := q.gate.fleet.newAttempt(q.in.route, q.shards[shard], q.tried[shard], selection, q.reached[shard])
 	q.gate.counters.countDenial(reason)
 	if a == nil {
 		if reason == denialBudget {
@@ -124,7 +124,7 @@
 		return nil, reason
 	}
 	if a.isExtra {
-		q.repeats++
+		q.extraAttempts++
 	}
 	a.shard = shard
 	q.tried[shard] = append(q.tried[shard], a.upstream.leaf)
@@ -133,11 +133,11 @@
 }
 
 func (q *query) send(shard int, a *attempt) {
-	q.progress.OnSent(shard, q.gate.config.Now())
+	q.execution.OnSent(shard, q.gate.config.Now())
 	request := q.in.request
-	request.Quota, request.MaxResponseBytes = q.meter, maxPartBytes(q.in.route.TopRecords())
-	request.Deadline = time.Now().Add(q.progress.AttemptDeadline(shard, q.gate.config.Now()) - q.gate.config.Now())
-	a.ticket = a.upstream.pool.Start(&request, func(result exchanger.Result) {
+	request.Quota, request.MaxResponseBytes = q.quota, maxPartBytes(q.in.route.TopRecords())
+	request.Deadline = time.Now().Add(q.execution.AttemptDeadline(shard, q.gate.config.Now()) - q.gate.config.Now())
+	a.exchange = a.upstream.pool.Start(&request, func(result exchanger.Result) {
 		q.completions <- completion{shard: shard, attempt: a, result: result}
 	})
 }
--- a/pkg/gatekeeper/scatter_slices.go
+++ b/pkg/gatekeeper/scatter_slices.go
@@ -18,7 +18,7 @@
 
 type (
 	// delegatedSlice is a subset of the shards of a query that another instance gathers. If that instance fails or does not
-	// report in time, its open shards are reclaimed and later reports are ignored, so that each part is merged once.
+	// report in time, its pending shards are reclaimed and later reports are ignored, so that each part is merged once.
 	delegatedSlice struct {
 		call      *aggregator.Call
 		shards    []int
@@ -27,11 +27,11 @@
 		hasReported bool
 		// isClosed is set once further reports are ignored.
 		isClosed bool
-		// repeats and overBudget are the counts of the last report.
-		repeats    int
-		overBudget int
-		// openShards describes, by shard, the leafs tried and their outcomes.
-		openShards map[int]string
+		// extraAttempts and overBudget are the numbers of hedges and retries sent, and denied by the budget, as of the last report.
+		extraAttempts int
+		overBudget    int
+		// pendingShards describes, by shard, the leafs tried and their outcomes.
+		pendingShards map[int]string
 	}
 
 	// sliceReport is a report of a delegated slice, or the error of the call for it.
@@ -82,7 +82,7 @@
 	now := q.gate.config.Now()
 	reportBy := now + q.gate.reportTimeout(q.in)
 	for instance, shards := range groups {
-		s := &delegatedSlice{shards: shards, startedAt: now, openShards: map[int]string{}}
+		s := &delegatedSlice{shards: shards, startedAt: now, pendingShards: map[int]string{}}
 		s.call = q.gate.config.Peers.Gather(instance, q.newSliceQuery(shards, now), q.reportCallback(s))
 		if s.call == nil {
 			for _, shard := range shards {
@@ -92,7 +92,7 @@
 		}
 		for _, shard := range shards {
 			q.delegated[shard] = s
-			q.progress.OnDelegated(shard, now, reportBy)
+			q.execution.OnDelegated(shard, now, reportBy)
 		}
 	}
 }
@@ -139,15 +139,15 @@
 	}
 	for _, index := range r.report.Parts {
 		if index >= 0 && index < len(s.shards) {
-			q.progress.OnPart(s.shards[index])
+			q.execution.OnPart(s.shards[index])
 		}
 	}
 	q.top.Add(r.report.Records)
 	q.proofs = append(q.proofs, r.report.Proofs...)
-	q.repeats += r.report.Extra - s.repeats
+	q.extraAttempts += r.report.Extra - s.extraAttempts
 	q.overBudget += r.report.OverBudget - s.overBudget
-	s.repeats, s.overBudget = r.report.Extra, r.report.OverBudget
-	q.updateOpenShards(s, r.report, now)
+	s.extraAttempts, s.overBudget = r.report.Extra, r.report.OverBudget
+	q.updatePendingShards(s, r.report, now)
 	if r.report.Final {
 		q.closeSlice(s)
 		return
@@ -155,73 +155,73 @@
 	s.call.NextReport(q.reportCallback(s))
 }
 
-// updateOpenShards records the attempts at the open shards of a slice, and extends the time until its next report is due.
-func (q *query) updateOpenShards(s *delegatedSlice, report aggregator.Report, now time.Duration) {
+// updatePendingShards records the attempts at the pending shards of a slice, and extends the time until its next report is due.
+func (q *query) updatePendingShards(s *delegatedSlice, report aggregator.Report, now time.Duration) {
 	nextReportBy := max(q.plan.SoftDeadline, now+reportInterval) + slicer.ReportTimeout(0, reportInterval)
-	for _, openShard := range report.Open {
-		if openShard.Shard < 0 || openShard.Shard >= len(s.shards) {
+	for _, pendingShard := range report.Open {
+		if pendingShard.Shard < 0 || pendingShard.Shard >= len(s.shards) {
 			continue
 		}
-		shard := s.shards[openShard.Shard]
-		s.openShards[shard] = openShard.Leafs
-		q.progress.OnGrantSent(shard, nextReportBy)
-		if openShard.Lost {
-			q.progress.OnExhausted(shard)
+		shard := s.shards[pendingShard.Shard]
+		s.pendingShards[shard] = pendingShard.Leafs
+		q.execution.OnGrantSent(shard, nextReportBy)
+		if pendingShard.Lost {
+			q.execution.OnExhausted(shard)
 		}
 	}
 }
 
-// closeSlice ends a slice after its final report. Its open shards are lost, because their attempts are used up.
+// closeSlice ends a slice after its final report. Its pending shards are lost, because their attempts are used up.
 func (q *query) closeSlice(s *delegatedSlice) {
 	s.isClosed = true
 	for _, shard := range s.shards {
-		if !q.progress.HasPart(shard) {
-			q.progress.OnExhausted(shard)
+		if !q.execution.HasPart(shard) {
+			q.execution.OnExhausted(shard)
 		}
 	}
 }
 
-// reclaimSilentSlices returns the late shards that this instance gathers. A delegated shard is late if its slice did not report
+// reclaimOverdueSlices returns the late shards that this instance gathers. A delegated shard is late if its slice did not report
 // in time. Such slices are reclaimed.
-func (q *query) reclaimSilentSlices(late []int) []int {
+func (q *query) reclaimOverdueSlices(late []int) []int {
 	var local []int
-	silent := map[*delegatedSlice]bool{}
+	overdue := map[*delegatedSlice]bool{}
 	for _, shard := range late {
 		switch s := q.delegated[shard]; {
 		case s == nil:
 			local = append(local, shard)
 		case !s.isClosed:
-			silent[s] = true
+			overdue[s] = true
 		}
 	}
-	for s := range silent {
+	for s := range overdue {
 		s.call.MarkUnavailable()
 		q.reclaimSlice(s, "no report in time", true)
 	}
 	return local
 }
 
-// reclaimSlice closes a slice and sends the request to leafs of its open shards. If mayHaveRun is set, the peer may already have
-// sent it to them, and the attempts count as repeats.
+// reclaimSlice closes a slice and sends the request to leafs of its pending shards. If mayHaveRun is set, the peer may already
+// have sent it to them, and the attempts count against the retry budget.
 func (q *query) reclaimSlice(s *delegatedSlice, cause string, mayHaveRun bool) {
 	s.isClosed = true
 	q.gate.counters.slicesTakenBack.Inc()
 	q.gate.config.Log.Info("gatekeeper: slice taken back", "request", q.in.id, "peer", s.call.Instance(), "cause", cause, "ran", mayHaveRun,
 		"shards", len(s.shards), "after-ms", (q.gate.config.Now() - s.startedAt).Milliseconds())
 	for _, shard := range s.shards {
-		if q.progress.HasPart(shard) {
+		if q.execution.HasPart(shard) {
 			continue
 		}
 		q.delegated[shard] = nil
 		q.reached[shard] = q.reached[shard] || mayHaveRun
-		if q.progress.OnFailure(shard, mayHaveRun) {
+		if q.execution.OnFailure(shard, mayHaveRun) {
 			q.dispatch(shard, selectAny)
 		}
 	}
 }
 
-// dropSlices cancels the slices that are still open.
-func (q *query) dropSlices(callerLeft bool) {
+// cancelSlices cancels the slices that are still open.
+func (q *query) cancelSlices(callerLeft bool) {
 	dropped := map[*delegatedSlice]bool{}
 	for _, s := range q.delegated {
 		if s != nil && !s.isClosed && !dropped[s] {
--- a/pkg/gatekeeper/scatter_test.go
+++ b/pkg/gatekeeper/scatter_test.go
@@ -25,7 +25,7 @@
 	}{
 		{"all parts", nil, 200, "0", 4},
 		{"failing shard is left out", map[int]http.HandlerFunc{2: respondWithStatus(500)}, 200, "1", 3},
-		{"silent shard is left out", map[int]http.HandlerFunc{2: hang}, 200, "1", 3},
+		{"shard that does not answer is left out", map[int]http.HandlerFunc{2: hang}, 200, "1", 3},
 		{"too few parts fail the query", map[int]http.HandlerFunc{1: respondWithStatus(500), 2: respondWithStatus(500)}, 502, "", 0},
 	}
 	for _, c := range cases {
@@ -157,7 +157,7 @@
 func TestUnreachableAttemptsDoNotRaiseRetryBudget(t *testing.T) {
 	const queries = 10
 	tier := newTier(t, "s1", "s2")
-	tier.gate.fleet.budget = hedger.RetryLimit{Ratio: 0.2, Window: 10 * time.Second}
+	tier.gate.fleet.retryLimit = hedger.RetryLimit{Ratio: 0.2, Window: 10 * time.Second}
 	_ = tier.leafs[0].server.Close()
 	tier.setRoute(router.RouteFields{
 		Name: "sweep", Shards: []string{"s1", "s2"}, MaxAttempts: 2, Idempotent: true, Objective: 500 * time.Millisecond, TopRecords: 2, MinCoverage: 1,
@@ -171,7 +171,7 @@
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	allowed := 0
-	for fleet.services["s1"].allowance.Take(fleet.now()) {
+	for fleet.services["s1"].budget.Take(fleet.now()) {
 		allowed++
 	}
 	if limit := queries / 5; allowed > limit {
--- a/pkg/gatekeeper/stop.go
+++ b/pkg/gatekeeper/shutdown.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// idleCheckInterval is the time between checks for active connections. Two successive checks without one end the service.
+	// idleCheckInterval is the time between checks for active connections. The server stops after two successive checks without one.
 	idleCheckInterval = 20 * time.Millisecond
 	// firstRequestTimeout is how long a new connection counts as active before its first request. Callers abandon a new
 	// connection after one second.
--- a/pkg/gatekeeper/slice.go
+++ b/pkg/gatekeeper/slice.go
@@ -87,10 +87,10 @@
 	return s.collectReport(g)
 }
 
-// CancelSlice ends a slice. With cancelAtLeafs, the leafs also stop work on it.
-func (g *Gatekeeper) CancelSlice(id aggregator.SliceID, cancelAtLeafs bool) {
+// CancelSlice ends a slice. If cancelAttempts is set, the attempts at the leafs are cancelled as well.
+func (g *Gatekeeper) CancelSlice(id aggregator.SliceID, cancelAttempts bool) {
 	if s := g.slices.find(id); s != nil {
-		s.requestStop(cancelAtLeafs)
+		s.requestStop(cancelAttempts)
 	}
 }
 
@@ -134,13 +134,13 @@
 // run gathers the parts until the slice is complete, no further part is possible, or the slice is dropped or abandoned.
 func (s *slice) run() {
 	q := s.query
-	cancelAtLeafs := false
+	cancelAttempts := false
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
 			q.gate.config.Log.Error(errors.Errorf("%v", panicValue), "gatekeeper: panic while gathering a slice", "request", q.in.id, "from", s.id.From)
 			s.publishReport(q.gate.config.Now(), true)
 		}
-		q.cancelOutstanding(cancelAtLeafs)
+		q.cancelOutstanding(cancelAttempts)
 		time.AfterFunc(reportRetention, func() { s.set.remove(s.id) })
 	}()
 	q.gate.fleet.countSlice(q.shards)
@@ -150,39 +150,39 @@
 	defer timer.Stop()
 	for {
 		now := q.gate.config.Now()
-		if q.progress.Decide(now) != gatherer.Continue {
+		if q.execution.Decide(now) != gatherer.Continue {
 			s.publishReport(now, true)
 			return
 		}
 		if s.isAbandoned(now) {
 			q.gate.config.Log.Info("gatekeeper: slice cancelled, the requesting instance no longer waits for it", "request", q.in.id, "from", s.id.From)
-			cancelAtLeafs = true
+			cancelAttempts = true
 			return
 		}
 		q.sendDueAttempts(now)
-		if now >= s.reportAt || !s.hasReported && q.progress.NeedsGrant() {
+		if now >= s.reportAt || !s.hasReported && q.execution.NeedsGrant() {
 			s.publishReport(now, false)
 		}
-		timer.Reset(min(q.progress.NextCheck(now), max(s.reportAt, now)) - now)
+		timer.Reset(min(q.execution.NextCheck(now), max(s.reportAt, now)) - now)
 		select {
 		case c := <-q.completions:
 			s.onCompletion(c)
 			s.drainCompletions()
 		case <-s.granted:
-			for _, shard := range q.progress.OnGrantReceived() {
+			for _, shard := range q.execution.OnGrantReceived() {
 				q.dispatch(shard, selectAny)
 			}
 		case <-timer.C:
-		case cancelAtLeafs = <-s.stop:
+		case cancelAttempts = <-s.stop:
 			return
 		}
 	}
 }
 
 func (s *slice) onCompletion(c completion) {
-	wasDone := s.query.progress.HasPart(c.shard)
+	wasDone := s.query.execution.HasPart(c.shard)
 	s.query.onCompletion(c)
-	if !wasDone && s.query.progress.HasPart(c.shard) {
+	if !wasDone && s.query.execution.HasPart(c.shard) {
 		s.unreportedParts = append(s.unreportedParts, c.shard)
 	}
 }
@@ -205,8 +205,8 @@
 	s.pendingReport.Parts = append(s.pendingReport.Parts, s.unreportedParts...)
 	s.pendingReport.Proofs = append(s.pendingReport.Proofs, q.proofs...)
 	s.pendingReport.Records = append(s.pendingReport.Records, q.top.Bytes()...)
-	s.pendingReport.Open = s.openShards()
-	s.pendingReport.Extra, s.pendingReport.OverBudget, s.pendingReport.Final = q.repeats, q.overBudget, final
+	s.pendingReport.Open = s.pendingShards()
+	s.pendingReport.Extra, s.pendingReport.OverBudget, s.pendingReport.Final = q.extraAttempts, q.overBudget, final
 	s.mu.Unlock()
 	s.unreportedParts, q.proofs, q.top = nil, nil, gatherer.NewTop(q.in.route.TopRecords())
 	s.hasReported = true
@@ -220,13 +220,13 @@
 	}
 }
 
-func (s *slice) openShards() []aggregator.PendingShard {
+func (s *slice) pendingShards() []aggregator.PendingShard {
 	q := s.query
 	var open []aggregator.PendingShard
 	for shard := range q.shards {
-		if !q.progress.HasPart(shard) {
+		if !q.execution.HasPart(shard) {
 			open = append(open, aggregator.PendingShard{
-				Shard: shard, Leafs: q.describeAttempts(shard), Lost: q.progress.IsExhausted(shard) && !q.progress.NeedsGrant(),
+				Shard: shard, Leafs: q.describeAttempts(shard), Lost: q.execution.IsExhausted(shard) && !q.execution.NeedsGrant(),
 			})
 		}
 	}
@@ -271,9 +271,9 @@
 	}
 }
 
-func (s *slice) requestStop(cancelAtLeafs bool) {
+func (s *slice) requestStop(cancelAttempts bool) {
 	select {
-	case s.stop <- cancelAtLeafs:
+	case s.stop <- cancelAttempts:
 	default:
 	}
 }
--- a/pkg/gatekeeper/slice_test.go
+++ b/pkg/gatekeeper/slice_test.go
@@ -24,8 +24,8 @@
 // gathererCluster is a data centre of instances that gather shards for each other. Callers send requests to the first one.
 type gathererCluster struct {
 	*testTier
-	gates []*Gatekeeper
-	links map[string]*linker.Server
+	gates      []*Gatekeeper
+	rpcServers map[string]*linker.Server
 	// handlers receive the calls from other instances, in the order of gates.
 	handlers []*testGatherer
 }
@@ -35,7 +35,7 @@
 	*Gatekeeper
 	// block, if set, delays GatherSlice until the channel is closed.
 	block atomic.Pointer[chan bool]
-	// forgetsSlices makes MoreOfSlice act as if the slice were unknown.
+	// forgetsSlices makes NextSliceReport act as if the slice were unknown.
 	forgetsSlices atomic.Bool
 }
 
@@ -57,7 +57,7 @@
 
 func newGathererCluster(t *testing.T, services ...string) *gathererCluster {
 	t.Helper()
-	g := &gathererCluster{links: map[string]*linker.Server{}}
+	g := &gathererCluster{rpcServers: map[string]*linker.Server{}}
 	machine := tabulator.NewMachine()
 	for i := range testInstances {
 		machine.Apply(tabulator.Join{Member: g.startInstance(t, fmt.Sprintf("entry-%d", i+1))})
@@ -89,19 +89,19 @@
 		t.Fatal(err)
 	}
 	handler := &testGatherer{Gatekeeper: gate}
-	links, err := l.Serve(listener, map[string]any{"Aggregator": aggregator.NewService(handler)})
+	rpcServer, err := l.Serve(listener, map[string]any{"Aggregator": aggregator.NewService(handler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	config.Peers.Run()
 	t.Cleanup(func() {
 		config.Peers.Close()
-		links.Close()
+		rpcServer.Close()
 	})
 	if len(g.gates) == 0 {
 		g.testTier = serveTier(t, gate)
 	}
-	g.gates, g.handlers, g.links[name] = append(g.gates, gate), append(g.handlers, handler), links
+	g.gates, g.handlers, g.rpcServers[name] = append(g.gates, gate), append(g.handlers, handler), rpcServer
 	return tabulator.MemberFields{Instance: name, Incarnation: 1, DataCentre: "a", FellowAddress: listener.Addr().String()}
 }
 
@@ -209,9 +209,9 @@
 		extraRuns int64
 	}{
 		{"connections closed", func(g *gathererCluster) {
-			for name, links := range g.links {
+			for name, rpcServer := range g.rpcServers {
 				if name != "entry-1" {
-					links.Close()
+					rpcServer.Close()
 				}
 			}
 		}, 0},
@@ -319,7 +319,7 @@
 	}
 }
 
-// withTestPath sets the host and path prefix that testTier.route sets.
+// withTestPath sets the host and path prefix that testTier.setRoute sets.
 func withTestPath(fields router.RouteFields) router.RouteFields {
 	fields.Host, fields.Prefix = "h.example", "/p/"
 	return fields
@@ -361,7 +361,7 @@
 
 // A gathering instance is lost. The instance that detects it must notify its peers, so that they stop delegating to it.
 // Observations of unknown instances are ignored.
-func TestSilentGathererIsReportedToPeers(t *testing.T) {
+func TestUnresponsiveGathererIsReportedToPeers(t *testing.T) {
 	shards := shardNames(40)
 	g := newGathererCluster(t, shards...)
 	g.answerWithServiceNumber()
@@ -372,7 +372,7 @@
 	for instance := range g.gate.fleet.groupShards(shards) {
 		failed = instance
 	}
-	g.links[failed].Close()
+	g.rpcServers[failed].Close()
 	if response, _ := g.request(http.MethodGet, "/p/x", nil); response == nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("got %v, want status 200", response)
 	}
@@ -389,7 +389,7 @@
 	peer.ApplyObservations([]spreader.Observation{observation, {Leaf: instancePrefix + "nobody", IsGone: true, SeenAt: peer.config.Now()}})
 	for instance := range peer.fleet.groupShards(shards) {
 		if instance == failed {
-			t.Errorf("peer still delegates to %s, want none after it was reported silent", failed)
+			t.Errorf("peer still delegates to %s, want none after it was reported unresponsive", failed)
 		}
 	}
 }
--- a/pkg/placer/choice.go
+++ b/pkg/placer/choice.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// faultWeight converts a failure rate into lost time, in typical latencies: a failed request costs its own time, the
+	// failureWeight converts a failure rate into lost time, in typical latencies: a failed request costs its own time, the
 	// time of another request and one of the few attempts. For some seconds after a failure the result exceeds the cost of
 	// a remote data centre plus that of a new connection.
-	faultWeight = 8.0
-	// nonIdempotentFaultWeight is higher because a non-idempotent request is not retried, and its failure reaches the caller.
-	nonIdempotentFaultWeight = 40.0
+	failureWeight = 8.0
+	// nonIdempotentFailureWeight is higher because a non-idempotent request is not retried, and its failure reaches the caller.
+	nonIdempotentFailureWeight = 40.0
 	// remoteCost prefers a leaf of the local data centre while it is expected to answer within twice the typical latency:
 	// traffic between data centres is billed, and a request to a pausing leaf is hedged.
 	remoteCost = 1.0
@@ -95,7 +95,7 @@
 	now := criteria.Now
 	slots := float64(max(1, l.fields.Slots))
 	cost := l.slownessAt(now) * (1 + float64(len(l.running))/slots)
-	cost += criteria.faultWeight() * l.faultRateAt(now)
+	cost += criteria.failureWeight() * l.failureRateAt(now)
 	if l.fields.DataCentre != criteria.DataCentre {
 		cost += remoteCost
 	}
@@ -117,11 +117,11 @@
 	return cost
 }
 
-func (c Criteria) faultWeight() float64 {
+func (c Criteria) failureWeight() float64 {
 	if c.IsNonIdempotent {
-		return nonIdempotentFaultWeight
+		return nonIdempotentFailureWeight
 	}
-	return faultWeight
+	return failureWeight
 }
 
 func decay(age, halfLife time.Duration) float64 {
--- a/pkg/placer/leaf.go
+++ b/pkg/placer/leaf.go
@@ -19,10 +19,10 @@
 	// minSlowness and maxSlowness clamp the slowness computed from one answer.
 	minSlowness = 0.3
 	maxSlowness = 30.0
-	// faultRateGain is the weight of one outcome in the moving average of the failure rate.
-	faultRateGain = 0.4
-	// faultRateHalfLife is the half-life with which the failure rate decays: failures of a leaf last 4 to 8 s.
-	faultRateHalfLife = 5 * time.Second
+	// failureRateGain is the weight of one outcome in the moving average of the failure rate.
+	failureRateGain = 0.4
+	// failureRateHalfLife is the half-life with which the failure rate decays: failures of a leaf last 4 to 8 s.
+	failureRateHalfLife = 5 * time.Second
 	// minEjection and maxEjection bound the time for which a leaf is ejected after it was unreachable or did not answer.
 	minEjection = 100 * time.Millisecond
 	maxEjection = 1600 * time.Millisecond
@@ -86,10 +86,10 @@
 		// running holds the send times of the requests in progress by ID.
 		running map[uint64]time.Duration
 		// slowness is a moving average of the ratio of the latency to the typical latency; it is 1 for a leaf of usual speed.
-		slowness           float64
-		slownessUpdatedAt  time.Duration
-		faultRate          float64
-		faultRateUpdatedAt time.Duration
+		slowness             float64
+		slownessUpdatedAt    time.Duration
+		failureRate          float64
+		failureRateUpdatedAt time.Duration
 		// ejection is the length of the last ejection, 0 after an answer.
 		ejection        time.Duration
 		ejectedUntil    time.Duration
@@ -144,18 +144,18 @@
 
 // Stats holds the figures of a leaf that are written to the log.
 type Stats struct {
-	Running   int
-	Limit     float64
-	Slowness  float64
-	FaultRate float64
-	IsStalled bool
-	IsEjected bool
+	Running     int
+	Limit       float64
+	Slowness    float64
+	FailureRate float64
+	IsStalled   bool
+	IsEjected   bool
 }
 
 // Stats returns the current figures of the leaf for a log line.
 func (l *Leaf) Stats(now time.Duration) Stats {
 	return Stats{
-		Running: len(l.running), Limit: l.limit, Slowness: l.slownessAt(now), FaultRate: l.faultRateAt(now),
+		Running: len(l.running), Limit: l.limit, Slowness: l.slownessAt(now), FailureRate: l.failureRateAt(now),
 		IsStalled: l.IsStalled(now), IsEjected: l.IsEjected(now),
 	}
 }
@@ -211,17 +211,17 @@
 		ratio := float64(latency) / float64(max(typicalLatency, time.Millisecond))
 		l.trackSlowPeriod(ratio, now)
 		l.updateSlowness(ratio, now)
-		l.updateFaultRate(0, now)
+		l.updateFailureRate(0, now)
 		l.limit = min(maxLimit, l.limit+limitIncrease)
 	case Refused:
 		// The limit is unchanged: a refusal takes none of the leaf's time, and some leafs refuse requests while they still
 		// have capacity.
 		l.lastAnswerAt = now
-		l.updateFaultRate(1, now)
+		l.updateFailureRate(1, now)
 	case Failed:
-		l.updateFaultRate(1, now)
+		l.updateFailureRate(1, now)
 	case Unreachable, Unanswered:
-		l.updateFaultRate(1, now)
+		l.updateFailureRate(1, now)
 		l.eject(now)
 	case LeafTimedOut:
 		l.lastAnswerAt = now
@@ -304,10 +304,10 @@
 	l.slownessUpdatedAt = now
 }
 
-func (l *Leaf) updateFaultRate(fault float64, now time.Duration) {
-	current := l.faultRateAt(now)
-	l.faultRate = current + faultRateGain*(fault-current)
-	l.faultRateUpdatedAt = now
+func (l *Leaf) updateFailureRate(failure float64, now time.Duration) {
+	current := l.failureRateAt(now)
+	l.failureRate = current + failureRateGain*(failure-current)
+	l.failureRateUpdatedAt = now
 }
 
 // eject ejects the leaf, for twice as long as the last time if it has not answered since.
@@ -323,6 +323,6 @@
 	return 1 + (l.slowness-1)*decay(now-l.slownessUpdatedAt, slownessHalfLife)
 }
 
-func (l *Leaf) faultRateAt(now time.Duration) float64 {
-	return l.faultRate * decay(now-l.faultRateUpdatedAt, faultRateHalfLife)
+func (l *Leaf) failureRateAt(now time.Duration) float64 {
+	return l.failureRate * decay(now-l.failureRateUpdatedAt, failureRateHalfLife)
 }
--- a/pkg/placer/observation.go
+++ b/pkg/placer/observation.go
@@ -18,16 +18,16 @@
 	// replacedEjection is how long a leaf is ejected after another instance observed that it was replaced: the list of leafs
 	// drops it within that time.
 	replacedEjection = 5 * time.Second
-	// unhealthyFaultRate is the failure rate from which a leaf counts as unhealthy; a single failure exceeds it.
-	unhealthyFaultRate = 0.2
+	// unhealthyFailureRate is the failure rate from which a leaf counts as unhealthy; a single failure exceeds it.
+	unhealthyFailureRate = 0.2
 )
 
 // Observation is the state of a leaf as seen by one instance at one time.
 type Observation struct {
 	// Slowness is the average latency divided by the typical latency.
 	Slowness float64
-	// FaultRate is the failure rate, 0 to 1.
-	FaultRate float64
+	// FailureRate is the failure rate, 0 to 1.
+	FailureRate float64
 	// SlowFor is the length of the slow period so far, 0 if the last answer was not slow.
 	SlowFor time.Duration
 	// IsSlow is set if the last answer was slow.
@@ -41,11 +41,11 @@
 // Observe returns the current observation of the leaf, and whether to share it with the other instances: it is shared while
 // the leaf is slow, failing or replaced, and once after its recovery.
 func (l *Leaf) Observe(now time.Duration) (Observation, bool) {
-	observation := Observation{Slowness: l.slownessAt(now), FaultRate: l.faultRateAt(now), SeenAt: now, IsSlow: l.isSlow, IsReplaced: l.isReplaced}
+	observation := Observation{Slowness: l.slownessAt(now), FailureRate: l.failureRateAt(now), SeenAt: now, IsSlow: l.isSlow, IsReplaced: l.isReplaced}
 	if l.isSlow {
 		observation.SlowFor = now - l.slowSince
 	}
-	isUnhealthy := l.isSlow || l.isReplaced || observation.FaultRate >= unhealthyFaultRate
+	isUnhealthy := l.isSlow || l.isReplaced || observation.FailureRate >= unhealthyFailureRate
 	shouldShare := isUnhealthy || l.isKnownUnhealthy
 	l.isKnownUnhealthy = isUnhealthy
 	l.observedAt = now
@@ -62,10 +62,10 @@
 	if observation.IsReplaced {
 		l.ejectedUntil = max(l.ejectedUntil, observation.SeenAt+replacedEjection)
 	}
-	isUnhealthy := observation.IsSlow || observation.IsReplaced || observation.FaultRate >= unhealthyFaultRate
+	isUnhealthy := observation.IsSlow || observation.IsReplaced || observation.FailureRate >= unhealthyFailureRate
 	changed := isUnhealthy != l.isKnownUnhealthy
 	l.isKnownUnhealthy = isUnhealthy
-	l.faultRate, l.faultRateUpdatedAt = observation.FaultRate, observation.SeenAt
+	l.failureRate, l.failureRateUpdatedAt = observation.FailureRate, observation.SeenAt
 	l.isSlow = observation.IsSlow
 	if observation.IsSlow {
 		l.slowSince, l.lastSlowAt = observation.SeenAt-observation.SlowFor, observation.SeenAt
--- a/pkg/recruiter/recruiter.go
+++ b/pkg/recruiter/recruiter.go
@@ -74,7 +74,7 @@
 //
 //	voters a/1 b/1 c/1, join request of c/2  ->  add learner c/2, promote c/2, remove c/1
 func Decide(view View) Change {
-	rules := []func(View) Change{removeReplacedVoter, promoteLearner, removeSilentVoter, addJoiningNode, removeSilentLearner}
+	rules := []func(View) Change{removeReplacedVoter, promoteLearner, removeUnresponsiveVoter, addJoiningNode, removeUnresponsiveLearner}
 	for _, rule := range rules {
 		if change := rule(view); change.Action != NoChange {
 			return change
@@ -97,29 +97,29 @@
 
 func promoteLearner(v View) Change {
 	for _, id := range v.Config.Learners {
-		if v.silence(id) < JoinerTimeout && v.Match[id] >= v.Commit && v.Match[id] > 0 {
+		if v.timeSinceContact(id) < JoinerTimeout && v.Match[id] >= v.Commit && v.Match[id] > 0 {
 			return Change{Action: Promote, Node: id, Reason: "it holds everything committed"}
 		}
 	}
 	return Change{}
 }
 
-// removeSilentVoter removes the voter that has been silent longest if the number of voters is even and at least 4. An even
-// number of voters tolerates no more failures than one voter fewer.
-func removeSilentVoter(v View) Change {
+// removeUnresponsiveVoter removes the voter with the longest time without contact, if that is at least VoterTimeout and the number
+// of voters is even and at least 4. An even number of voters tolerates no more failures than one voter fewer.
+func removeUnresponsiveVoter(v View) Change {
 	if len(v.Config.Voters)%2 != 0 || len(v.Config.Voters) < 4 {
 		return Change{}
 	}
-	var silent replicator.NodeID
+	var candidate replicator.NodeID
 	for _, id := range v.Config.Voters {
-		if id != v.Self && v.silence(id) >= VoterTimeout && (silent == "" || v.silence(id) > v.silence(silent)) {
-			silent = id
+		if id != v.Self && v.timeSinceContact(id) >= VoterTimeout && (candidate == "" || v.timeSinceContact(id) > v.timeSinceContact(candidate)) {
+			candidate = id
 		}
 	}
-	if silent == "" {
+	if candidate == "" {
 		return Change{}
 	}
-	return Change{Action: Remove, Node: silent, Reason: "it is silent and the others suffice"}
+	return Change{Action: Remove, Node: candidate, Reason: "it is silent and the others suffice"}
 }
 
 func addJoiningNode(v View) Change {
@@ -138,16 +138,16 @@
 	return Change{Action: AddLearner, Node: chosen, Reason: "it asked to join"}
 }
 
-func removeSilentLearner(v View) Change {
+func removeUnresponsiveLearner(v View) Change {
 	for _, id := range v.Config.Learners {
-		if v.silence(id) >= LearnerTimeout {
+		if v.timeSinceContact(id) >= LearnerTimeout {
 			return Change{Action: Remove, Node: id, Reason: "it is silent and has no vote"}
 		}
 	}
 	return Change{}
 }
 
-func (v View) silence(id replicator.NodeID) time.Duration { return v.Now - v.HeardAt[id] }
+func (v View) timeSinceContact(id replicator.NodeID) time.Duration { return v.Now - v.HeardAt[id] }
 
 func instanceOf(id replicator.NodeID) string {
 	instance, _, _ := strings.Cut(string(id), "/")
--- a/pkg/recruiter/recruiter_test.go
+++ b/pkg/recruiter/recruiter_test.go
@@ -16,8 +16,8 @@
 		}
 		return heard
 	}
-	silent := func(heard map[replicator.NodeID]time.Duration, id replicator.NodeID, silence time.Duration) map[replicator.NodeID]time.Duration {
-		heard[id] = now - silence
+	withoutContact := func(heard map[replicator.NodeID]time.Duration, id replicator.NodeID, elapsed time.Duration) map[replicator.NodeID]time.Duration {
+		heard[id] = now - elapsed
 		return heard
 	}
 	five := []replicator.NodeID{"a/1", "b/1", "c/1", "d/1", "e/1"}
@@ -62,31 +62,31 @@
 			want: Change{Action: Promote, Node: "f/1"},
 		},
 		{
-			name: "replaced voter is removed before a silent one",
+			name: "replaced voter is removed before an unresponsive one",
 			view: View{
 				Config:  replicator.Config{Voters: []replicator.NodeID{"a/1", "b/1", "c/1", "d/1", "e/1", "b/2"}},
-				HeardAt: silent(silent(fresh("a/1", "c/1", "d/1", "e/1", "b/2"), "e/1", 10*time.Second), "b/1", 2*time.Second),
+				HeardAt: withoutContact(withoutContact(fresh("a/1", "c/1", "d/1", "e/1", "b/2"), "e/1", 10*time.Second), "b/1", 2*time.Second),
 			},
 			want: Change{Action: Remove, Node: "b/1"},
 		},
 		{
-			name: "silent voter stays with an odd number of voters",
-			view: View{Config: replicator.Config{Voters: five}, HeardAt: silent(fresh(five...), "e/1", time.Minute)},
+			name: "unresponsive voter stays with an odd number of voters",
+			view: View{Config: replicator.Config{Voters: five}, HeardAt: withoutContact(fresh(five...), "e/1", time.Minute)},
 		},
 		{
-			name: "silent voter is removed with an even number of voters",
-			view: View{Config: replicator.Config{Voters: six}, HeardAt: silent(fresh(six...), "e/1", 2*time.Second)},
+			name: "unresponsive voter is removed with an even number of voters",
+			view: View{Config: replicator.Config{Voters: six}, HeardAt: withoutContact(fresh(six...), "e/1", 2*time.Second)},
 			want: Change{Action: Remove, Node: "e/1"},
 		},
 		{
-			name: "voter silent for less than the timeout stays",
-			view: View{Config: replicator.Config{Voters: six}, HeardAt: silent(fresh(six...), "e/1", time.Second)},
+			name: "voter without contact for less than the timeout stays",
+			view: View{Config: replicator.Config{Voters: six}, HeardAt: withoutContact(fresh(six...), "e/1", time.Second)},
 		},
 		{
-			name: "silent learner is removed",
+			name: "unresponsive learner is removed",
 			view: View{
 				Config:  replicator.Config{Voters: five, Learners: []replicator.NodeID{"f/1"}},
-				HeardAt: silent(fresh(five...), "f/1", 6*time.Second), Commit: 9,
+				HeardAt: withoutContact(fresh(five...), "f/1", 6*time.Second), Commit: 9,
 			},
 			want: Change{Action: Remove, Node: "f/1"},
 		},
--- a/pkg/slicer/pay.go
+++ b/pkg/slicer/should_slice.go
@@ -1,7 +1,7 @@
-// Slices reduce the number of instances that ask each leaf, which is worthwhile while an
-// instance asks a leaf too rarely to keep a connection to it and to know its
-// state. At higher rates each instance has open connections anyway, and a
-// gatherer would be overloaded with a slice of every query of its data centre:
+// Slices reduce the number of instances that ask each leaf, which is worthwhile
+// while an instance asks a leaf too rarely to keep a connection to it and to
+// know its state. At higher rates each instance has open connections anyway, and
+// a gatherer would be overloaded with a slice of every query of its data centre:
 //
 //	large site    0.2 requests/s at each instance    slices
 //	in 2 years    232 requests/s                     each instance asks the leafs directly
