--- a/pkg/dispatcher/active_query.go
+++ b/pkg/dispatcher/active_query.go
@@ -8,7 +8,7 @@
 
 	"lovagedeck/pkg/assigner"
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -50,7 +50,7 @@
 
 // onReply passes a reply to its query. It counts and discards a reply that matches no outstanding attempt, but uses the leaf
 // state in the reply in either case. d.mu must be held.
-func (d *Dispatcher) onReply(reply fellow.Reply) {
+func (d *Dispatcher) onReply(reply peer.Reply) {
 	now := d.config.Now()
 	leaf := assigner.LeafID(reply.Leaf)
 	d.catalogue.SetHoldings(leaf, toHoldings(reply.Holdings))
@@ -111,11 +111,11 @@
 	record, isListed := d.catalogue.Leaf(attempt.Leaf)
 	owner, ok := d.ownerOf(record)
 	if !isListed || !ok {
-		d.refuseAsync(attempt, fellow.ReasonNoOwner)
+		d.refuseAsync(attempt, peer.ReasonNoOwner)
 		return
 	}
 	active.owners[attempt.Attempt] = owner.ID()
-	d.config.Transport.SendRequest(owner, fellow.Request{
+	d.config.Transport.SendRequest(owner, peer.Request{
 		ID: attempt.Attempt, Query: active.id, Leaf: string(attempt.Leaf), Service: attempt.Shard.Service, Shard: attempt.Shard.Number,
 		Index: attempt.Version.Index, Version: attempt.Version.Number, RemainingUs: (attempt.Deadline - now).Microseconds(),
 		Effect: !active.request.Idempotent, Hedge: attempt.IsHedge, Caller: active.request.Caller, Weight: active.request.Weight,
@@ -126,7 +126,7 @@
 // refuseAsync refuses an attempt whose leaf has no owner. It replies from another goroutine, because d.mu is held
 // here and the current actions of the query must be completed first.
 func (d *Dispatcher) refuseAsync(attempt coordinator.Send, reason string) {
-	go d.OnReplies(d.config.Self, []fellow.Reply{{ID: attempt.Attempt, Leaf: string(attempt.Leaf), Kind: fellow.KindNotRun, Reason: reason}})
+	go d.OnReplies(d.config.Self, []peer.Reply{{ID: attempt.Attempt, Leaf: string(attempt.Leaf), Kind: peer.KindNotRun, Reason: reason}})
 }
 
 func (d *Dispatcher) ownerOf(record coordinator.LeafRecord) (tabulator.Member, bool) {
@@ -147,8 +147,8 @@
 
 // isUnavailable reports whether a reply shows that the leaf accepts no requests at present: it refused the request, and it is
 // in backoff or no state of it was reported.
-func isUnavailable(reply fellow.Reply) bool {
-	if reply.Kind != fellow.KindNotRun {
+func isUnavailable(reply peer.Reply) bool {
+	if reply.Kind != peer.KindNotRun {
 		return false
 	}
 	return !reply.Condition.Known || reply.Condition.Resting
--- a/pkg/dispatcher/convert.go
+++ b/pkg/dispatcher/convert.go
@@ -4,11 +4,11 @@
 	"lovagedeck/pkg/admitter"
 	"lovagedeck/pkg/chooser"
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/leaf"
+	"lovagedeck/pkg/peer"
 )
 
-func toHoldings(reported []fellow.Holding) []coordinator.Holding {
+func toHoldings(reported []peer.Holding) []coordinator.Holding {
 	holdings := make([]coordinator.Holding, 0, len(reported))
 	for _, h := range reported {
 		holdings = append(holdings, coordinator.Holding{
@@ -18,25 +18,25 @@
 	return holdings
 }
 
-func toReport(c fellow.Condition) chooser.Report {
+func toReport(c peer.Condition) chooser.Report {
 	return chooser.Report{
 		Limit: c.Limit, Running: c.Running, Queued: c.Queued, Latency: c.Latency,
 		Threshold: c.Threshold, InBackoff: c.Resting, IsCold: c.Cold,
 	}
 }
 
-func toReply(reply fellow.Reply) coordinator.Reply {
+func toReply(reply peer.Reply) coordinator.Reply {
 	timing := coordinator.Timing{
 		QueueTime: reply.Queue, ConnectTime: reply.Connect, LeafTime: reply.LeafTime, Limit: int(reply.Condition.Limit),
 		Slots: reply.Condition.Slots, SinceLimitReset: reply.Condition.ClosedFor, LimitResetReason: reply.Condition.ClosedReason,
 	}
 	switch reply.Kind {
-	case fellow.KindSuccess:
+	case peer.KindSuccess:
 		return coordinator.Success{
 			Attempt: reply.ID, Version: coordinator.Version{Index: reply.Index, Number: reply.Version},
 			Shard: reply.Shard, Body: reply.Body, Timing: timing,
 		}
-	case fellow.KindNotRun:
+	case peer.KindNotRun:
 		return coordinator.NotRun{
 			Attempt: reply.ID, Reason: reply.Reason, IsOverload: reply.Overload,
 			IsSustainedOverload: reply.Reason == leaf.ReasonShed || reply.Reason == string(admitter.RefusedPriority),
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -14,8 +14,8 @@
 	"lovagedeck/pkg/assigner"
 	"lovagedeck/pkg/chooser"
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/hedger"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 	"lovagedeck/pkg/tracer"
 )
@@ -34,7 +34,7 @@
 	// Transport sends requests and cancellations to the owners of leafs.
 	Transport interface {
 		// SendRequest sends a request to an owner, whose reply arrives through OnReplies.
-		SendRequest(owner tabulator.Member, request fellow.Request)
+		SendRequest(owner tabulator.Member, request peer.Request)
 		// Cancel cancels the request with the given identifier.
 		Cancel(owner tabulator.MemberID, id uint64)
 		// IsUnresponsive reports whether an owner did not acknowledge what was last sent to it.
@@ -42,7 +42,7 @@
 		// IsCutOff reports whether most of the other instances do not acknowledge what this one sends.
 		IsCutOff() bool
 		// FetchHoldings returns the holdings that an owner knows of the given leafs, by leaf identifier.
-		FetchHoldings(owner tabulator.Member, leafs []string) (map[string][]fellow.Holding, error)
+		FetchHoldings(owner tabulator.Member, leafs []string) (map[string][]peer.Holding, error)
 	}
 
 	// Config holds the settings of a Dispatcher and the functions of the instance that it uses.
@@ -164,7 +164,7 @@
 }
 
 // OnReplies processes replies of owners.
-func (d *Dispatcher) OnReplies(_ tabulator.MemberID, replies []fellow.Reply) {
+func (d *Dispatcher) OnReplies(_ tabulator.MemberID, replies []peer.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, reply := range replies {
@@ -174,15 +174,15 @@
 
 // OnUndelivered ends attempts that were not delivered to their owner. If maybeReceived is set, the owner may have received
 // them, so their outcome is unknown.
-func (d *Dispatcher) OnUndelivered(requests []fellow.Request, maybeReceived bool, reason string) {
+func (d *Dispatcher) OnUndelivered(requests []peer.Request, maybeReceived bool, reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, request := range requests {
-		kind := fellow.KindNotRun
+		kind := peer.KindNotRun
 		if maybeReceived {
-			kind = fellow.KindUnknownOutcome
+			kind = peer.KindUnknownOutcome
 		}
-		d.onReply(fellow.Reply{ID: request.ID, Leaf: request.Leaf, Kind: kind, Reason: reason})
+		d.onReply(peer.Reply{ID: request.ID, Leaf: request.Leaf, Kind: kind, Reason: reason})
 	}
 }
 
--- a/pkg/dispatcher/dispatcher_test.go
+++ b/pkg/dispatcher/dispatcher_test.go
@@ -11,7 +11,7 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 	"lovagedeck/pkg/tracer"
 )
@@ -26,7 +26,7 @@
 	cancelCount    int
 }
 
-func (f *fakeOwners) SendRequest(_ tabulator.Member, request fellow.Request) {
+func (f *fakeOwners) SendRequest(_ tabulator.Member, request peer.Request) {
 	f.mu.Lock()
 	f.requestCount++
 	f.mu.Unlock()
@@ -34,8 +34,8 @@
 		return
 	}
 	time.AfterFunc(f.delay, func() {
-		f.dispatcher.OnReplies(tabulator.MemberID{}, []fellow.Reply{{
-			ID: request.ID, Leaf: request.Leaf, Kind: fellow.KindSuccess, Index: request.Index, Version: request.Version, Shard: request.Shard,
+		f.dispatcher.OnReplies(tabulator.MemberID{}, []peer.Reply{{
+			ID: request.ID, Leaf: request.Leaf, Kind: peer.KindSuccess, Index: request.Index, Version: request.Version, Shard: request.Shard,
 		}})
 	})
 }
@@ -50,10 +50,10 @@
 
 func (f *fakeOwners) IsCutOff() bool { return false }
 
-func (f *fakeOwners) FetchHoldings(_ tabulator.Member, leafs []string) (map[string][]fellow.Holding, error) {
-	holdings := map[string][]fellow.Holding{}
+func (f *fakeOwners) FetchHoldings(_ tabulator.Member, leafs []string) (map[string][]peer.Holding, error) {
+	holdings := map[string][]peer.Holding{}
 	for _, id := range leafs {
-		holdings[id] = []fellow.Holding{{Index: "i", Version: 1, Shard: 0, Shards: 1}}
+		holdings[id] = []peer.Holding{{Index: "i", Version: 1, Shard: 0, Shards: 1}}
 	}
 	return holdings, nil
 }
@@ -145,7 +145,7 @@
 		d := newDispatcher(t, owners, func() bool { return true })
 		active := &activeQuery{id: "q", owners: map[uint64]tabulator.MemberID{}, finished: make(chan coordinator.Answer, 1)}
 		limits, _ := d.limitsFor(Request{Services: []string{"s"}, Idempotent: true}, 0)
-		d.setHoldings(map[string][]fellow.Holding{"s-d-0": {{Index: "i", Version: 1, Shards: 1}}})
+		d.setHoldings(map[string][]peer.Holding{"s-d-0": {{Index: "i", Version: 1, Shards: 1}}})
 		plan, _ := d.catalogue.PlanQuery([]string{"s"}, d.view)
 		hedging := d.hedgeStateFor([]string{"s"})
 		active.query = coordinator.NewQuery(plan, limits, coordinator.Dependencies{
--- a/pkg/dispatcher/holdings.go
+++ b/pkg/dispatcher/holdings.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lovagedeck/pkg/assigner"
-	"lovagedeck/pkg/fellow"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -78,7 +78,7 @@
 	return true
 }
 
-func (d *Dispatcher) setHoldings(holdings map[string][]fellow.Holding) {
+func (d *Dispatcher) setHoldings(holdings map[string][]peer.Holding) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, reported := range holdings {
--- a/pkg/fellow/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package fellow exchanges requests, cancellations and replies with other entry instances, batched over net/rpc.
-package fellow
--- a/pkg/gatekeeper/fleet.go
+++ b/pkg/gatekeeper/fleet.go
@@ -208,7 +208,7 @@
 	f.members, f.addresses = make([]slicer.Member, 0, len(members)), make(map[string]string, len(members))
 	for _, member := range members {
 		f.members = append(f.members, slicer.Member{Instance: member.Instance(), DataCentre: member.DataCentre()})
-		f.addresses[member.Instance()] = member.FellowAddress()
+		f.addresses[member.Instance()] = member.PeerAddress()
 	}
 	f.instanceCount, f.instanceSet = 0, placer.InstanceSet{DataCentre: f.dataCentre, Instances: map[string]int{}}
 	for name, member := range f.recentMembers {
--- a/pkg/operator/wire.go
+++ b/pkg/operator/wire.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"lovagedeck/pkg/controller"
-	"lovagedeck/pkg/fellow"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 	"lovagedeck/pkg/timeliner"
 	"lovagedeck/pkg/tracer"
@@ -95,11 +95,11 @@
 		// OwnedLeafs is the number of leafs that this instance owns.
 		OwnedLeafs int `json:"leafs-owned"`
 		// OpenQueries is the number of queries that are running at this instance.
-		OpenQueries int                         `json:"queries-open"`
-		Members     []tabulator.MemberFields    `json:"members"`
-		DataCentres []tabulator.DataCentre      `json:"data-centres"`
-		Control     []ControlStatus             `json:"control"`
-		Conditions  map[string]fellow.Condition `json:"conditions,omitempty"`
+		OpenQueries int                       `json:"queries-open"`
+		Members     []tabulator.MemberFields  `json:"members"`
+		DataCentres []tabulator.DataCentre    `json:"data-centres"`
+		Control     []ControlStatus           `json:"control"`
+		Conditions  map[string]peer.Condition `json:"conditions,omitempty"`
 	}
 
 	// InForce reports how many instances use a table revision.
--- a/pkg/owner/owned_leaf.go
+++ b/pkg/owner/owned_leaf.go
@@ -8,8 +8,8 @@
 	"lovagedeck/pkg/admitter"
 	"lovagedeck/pkg/assigner"
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/leaf"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -32,7 +32,7 @@
 	fence     *assigner.Fence
 	client    *leaf.Client
 	queued    map[uint64]*pendingRequest
-	holdings  []fellow.Holding
+	holdings  []peer.Holding
 	runID     string
 	hasOpened bool
 	hasEnded  bool
@@ -88,7 +88,7 @@
 	}
 }
 
-func (l *ownedLeaf) applyRelease(released fellow.ReleasedLeaf) {
+func (l *ownedLeaf) applyRelease(released peer.ReleasedLeaf) {
 	l.mu.Lock()
 	l.fence.OnRelease(assigner.Release{
 		WasOpen: released.Open, RunningRequests: released.Running, RemainingRunTime: released.RunningUntil,
@@ -145,12 +145,12 @@
 	}
 	l.mu.Lock()
 	if l.hasEnded || !l.hasOpened {
-		reason := fellow.ReasonFenced
+		reason := peer.ReasonFenced
 		if l.hasEnded {
-			reason = fellow.ReasonNotOwner
+			reason = peer.ReasonNotOwner
 		}
 		l.mu.Unlock()
-		l.owner.complete(pending, fellow.Reply{Kind: fellow.KindNotRun, Reason: reason})
+		l.owner.complete(pending, peer.Reply{Kind: peer.KindNotRun, Reason: reason})
 		return
 	}
 	refusal := l.admission.Offer(admitter.Request{
@@ -221,13 +221,13 @@
 	return l.hasOpened && !l.hasEnded
 }
 
-func (l *ownedLeaf) currentHoldings() []fellow.Holding {
+func (l *ownedLeaf) currentHoldings() []peer.Holding {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holdings
 }
 
-func (l *ownedLeaf) condition() fellow.Condition {
+func (l *ownedLeaf) condition() peer.Condition {
 	now := l.owner.config.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -272,12 +272,12 @@
 }
 
 // prepareRelease stops sending to the leaf and returns the state that the next owner needs.
-func (l *ownedLeaf) prepareRelease() fellow.ReleasedLeaf {
+func (l *ownedLeaf) prepareRelease() peer.ReleasedLeaf {
 	now := l.owner.config.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	condition := l.admission.Condition(now)
-	released := fellow.ReleasedLeaf{
+	released := peer.ReleasedLeaf{
 		Leaf: string(l.record.ID), Open: l.hasOpened && !l.hasEnded, Running: condition.Running,
 		RunningUntil: l.admission.RemainingRunTime(now), Limit: condition.Limit, Latency: condition.Latency,
 	}
@@ -298,16 +298,16 @@
 	l.mu.Unlock()
 	client.Close()
 	for _, pending := range refused {
-		l.owner.complete(pending, fellow.Reply{Kind: fellow.KindNotRun, Reason: reason})
+		l.owner.complete(pending, peer.Reply{Kind: peer.KindNotRun, Reason: reason})
 	}
 }
 
-func (l *ownedLeaf) notRunReply(reason string) fellow.Reply {
-	return fellow.Reply{Kind: fellow.KindNotRun, Reason: reason, Condition: l.condition(), Holdings: l.currentHoldings()}
+func (l *ownedLeaf) notRunReply(reason string) peer.Reply {
+	return peer.Reply{Kind: peer.KindNotRun, Reason: reason, Condition: l.condition(), Holdings: l.currentHoldings()}
 }
 
-func toCondition(c admitter.Condition, now time.Duration) fellow.Condition {
-	return fellow.Condition{
+func toCondition(c admitter.Condition, now time.Duration) peer.Condition {
+	return peer.Condition{
 		Known: true, Limit: c.Limit, Slots: c.Slots, Running: c.Running, Queued: c.Queued, Latency: c.Latency,
 		Threshold: c.Threshold, Resting: c.InBackoff, Cold: c.IsCold, ClosedFor: now - c.LimitResetAt, ClosedReason: c.LimitResetReason,
 	}
--- a/pkg/owner/owned_leaf_exchange.go
+++ b/pkg/owner/owned_leaf_exchange.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 
 	"lovagedeck/pkg/admitter"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/leaf"
+	"lovagedeck/pkg/peer"
 )
 
 func (l *ownedLeaf) send(client *leaf.Client, pending *pendingRequest, queueTime time.Duration, conditionAtSend admitter.Condition) {
@@ -41,44 +41,44 @@
 }
 
 // classify returns the reply for a finished exchange and the outcome to record with the admission.
-func (l *ownedLeaf) classify(exchange leaf.Exchange, err error) (fellow.Reply, admitter.Outcome) {
+func (l *ownedLeaf) classify(exchange leaf.Exchange, err error) (peer.Reply, admitter.Outcome) {
 	if err != nil {
 		return classifyError(err)
 	}
 	response := exchange.Response()
-	reply := fellow.Reply{Index: response.Index, Version: response.Version, Shard: response.Shard, Reason: response.Reason}
+	reply := peer.Reply{Index: response.Index, Version: response.Version, Shard: response.Shard, Reason: response.Reason}
 	switch {
 	case exchange.OK():
-		reply.Kind = fellow.KindSuccess
+		reply.Kind = peer.KindSuccess
 		reply.Body = response.Hits
 		if l.hasRestarted(response.RunID) {
 			return reply, admitter.Restarted{}
 		}
 		return reply, admitter.Answered{}
 	case exchange.Refused():
-		reply.Kind = fellow.KindNotRun
+		reply.Kind = peer.KindNotRun
 		reply.Overload = response.Reason == leaf.ReasonShed
 		if response.Reason == leaf.ReasonVersionGone {
 			return reply, admitter.Cancelled{}
 		}
 		return reply, admitter.Shed{}
 	}
-	reply.Kind = fellow.KindUnknownOutcome
+	reply.Kind = peer.KindUnknownOutcome
 	return reply, admitter.Cancelled{}
 }
 
-func classifyError(err error) (fellow.Reply, admitter.Outcome) {
-	reply := fellow.Reply{Kind: fellow.KindUnknownOutcome, Reason: err.Error(), Faulty: true}
+func classifyError(err error) (peer.Reply, admitter.Outcome) {
+	reply := peer.Reply{Kind: peer.KindUnknownOutcome, Reason: err.Error(), Faulty: true}
 	var leafError *leaf.Error
 	if !errors.As(err, &leafError) {
 		return reply, admitter.ConnectionFailed{}
 	}
 	if leafError.Step() == leaf.StepSendCheck {
-		return fellow.Reply{Kind: fellow.KindNotRun, Reason: leafError.Unwrap().Error()}, admitter.Cancelled{}
+		return peer.Reply{Kind: peer.KindNotRun, Reason: leafError.Unwrap().Error()}, admitter.Cancelled{}
 	}
 	if leafError.NotSent() {
-		reply.Kind = fellow.KindNotRun
-		reply.Reason = fellow.ReasonConnect
+		reply.Kind = peer.KindNotRun
+		reply.Reason = peer.ReasonConnect
 		return reply, admitter.ConnectionFailed{}
 	}
 	reply.Reason = string(leafError.Step())
@@ -107,9 +107,9 @@
 	if len(response.Holdings) == 0 {
 		return
 	}
-	l.holdings = make([]fellow.Holding, 0, len(response.Holdings))
+	l.holdings = make([]peer.Holding, 0, len(response.Holdings))
 	for _, holding := range response.Holdings {
-		l.holdings = append(l.holdings, fellow.Holding(holding))
+		l.holdings = append(l.holdings, peer.Holding(holding))
 	}
 }
 
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -10,8 +10,8 @@
 	"lovagedeck/pkg/admitter"
 	"lovagedeck/pkg/assigner"
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/leaf"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -22,10 +22,10 @@
 
 type (
 	// SendReply sends a reply to the instance that sent the request.
-	SendReply func(to tabulator.MemberID, address string, reply fellow.Reply)
+	SendReply func(to tabulator.MemberID, address string, reply peer.Reply)
 
 	// RequestRelease asks the previous owner to release a leaf, and returns false if that owner could not be reached.
-	RequestRelease func(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.ReleasedLeaf, bool)
+	RequestRelease func(from tabulator.Member, epoch uint64, id assigner.LeafID) (peer.ReleasedLeaf, bool)
 
 	// RecordEvent adds an event to the timeline of the instance.
 	RecordEvent func(kind, peer, text string)
@@ -77,7 +77,7 @@
 
 	// unclaimedRelease is the state of a leaf that this instance no longer owns and that the next owner has not yet requested.
 	unclaimedRelease struct {
-		released fellow.ReleasedLeaf
+		released peer.ReleasedLeaf
 		endedAt  time.Duration
 	}
 
@@ -85,7 +85,7 @@
 	pendingRequest struct {
 		key          requestKey
 		replyAddress string
-		request      fellow.Request
+		request      peer.Request
 		leaf         *ownedLeaf
 		admissionID  uint64
 		deadline     time.Duration
@@ -120,7 +120,7 @@
 	o.ownedLeafs = map[assigner.LeafID]*ownedLeaf{}
 	o.mu.Unlock()
 	for _, owned := range leafs {
-		owned.endOwnership(fellow.ReasonNotOwner)
+		owned.endOwnership(peer.ReasonNotOwner)
 	}
 	o.group.Wait()
 }
@@ -147,7 +147,7 @@
 }
 
 // OnRequests processes requests of an instance, which may be this one, and replies to address.
-func (o *Owner) OnRequests(from tabulator.MemberID, address string, requests []fellow.Request) {
+func (o *Owner) OnRequests(from tabulator.MemberID, address string, requests []peer.Request) {
 	for _, request := range requests {
 		o.onRequest(from, address, request)
 	}
@@ -168,8 +168,8 @@
 }
 
 // Holdings returns the holdings of those of the given leafs that are owned here and have reported any, by leaf identifier.
-func (o *Owner) Holdings(ids []string) map[string][]fellow.Holding {
-	holdingsByLeaf := make(map[string][]fellow.Holding, len(ids))
+func (o *Owner) Holdings(ids []string) map[string][]peer.Holding {
+	holdingsByLeaf := make(map[string][]peer.Holding, len(ids))
 	for _, id := range ids {
 		if owned := o.findLeaf(assigner.LeafID(id)); owned != nil {
 			if holdings := owned.currentHoldings(); len(holdings) > 0 {
@@ -181,8 +181,8 @@
 }
 
 // Release ends the ownership of the requested leafs and returns the state of each for the next owner.
-func (o *Owner) Release(query fellow.ReleaseQuery) []fellow.ReleasedLeaf {
-	released := make([]fellow.ReleasedLeaf, 0, len(query.Leafs))
+func (o *Owner) Release(query peer.ReleaseQuery) []peer.ReleasedLeaf {
+	released := make([]peer.ReleasedLeaf, 0, len(query.Leafs))
 	for _, id := range query.Leafs {
 		released = append(released, o.release(assigner.LeafID(id), query))
 	}
@@ -215,10 +215,10 @@
 }
 
 // Conditions returns the load and admission state of each owned leaf.
-func (o *Owner) Conditions() map[assigner.LeafID]fellow.Condition {
+func (o *Owner) Conditions() map[assigner.LeafID]peer.Condition {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	conditions := make(map[assigner.LeafID]fellow.Condition, len(o.ownedLeafs))
+	conditions := make(map[assigner.LeafID]peer.Condition, len(o.ownedLeafs))
 	for id, owned := range o.ownedLeafs {
 		conditions[id] = owned.condition()
 	}
@@ -238,7 +238,7 @@
 	return o.ownedLeafs[id]
 }
 
-func (o *Owner) onRequest(from tabulator.MemberID, address string, request fellow.Request) {
+func (o *Owner) onRequest(from tabulator.MemberID, address string, request peer.Request) {
 	now := o.config.Now()
 	pending := &pendingRequest{
 		key: requestKey{from: from, id: request.ID}, replyAddress: address, request: request,
@@ -266,20 +266,20 @@
 
 func (o *Owner) refusalReason(owned *ownedLeaf) string {
 	if owned == nil {
-		return fellow.ReasonNotOwner
+		return peer.ReasonNotOwner
 	}
-	return fellow.ReasonNoLease
+	return peer.ReasonNoLease
 }
 
 func (o *Owner) refuse(pending *pendingRequest, reason string, epoch uint64) {
 	o.refusedCount.Inc()
-	o.config.SendReply(pending.key.from, pending.replyAddress, fellow.Reply{
-		ID: pending.request.ID, Leaf: pending.request.Leaf, Kind: fellow.KindNotRun, Reason: reason, Epoch: epoch,
+	o.config.SendReply(pending.key.from, pending.replyAddress, peer.Reply{
+		ID: pending.request.ID, Leaf: pending.request.Leaf, Kind: peer.KindNotRun, Reason: reason, Epoch: epoch,
 	})
 }
 
 // complete removes a pending request and replies to it, unless it was cancelled in the meantime.
-func (o *Owner) complete(pending *pendingRequest, reply fellow.Reply) {
+func (o *Owner) complete(pending *pendingRequest, reply peer.Reply) {
 	o.mu.Lock()
 	_, isPending := o.pendingRequests[pending.key]
 	delete(o.pendingRequests, pending.key)
@@ -288,7 +288,7 @@
 	if !isPending {
 		return
 	}
-	if reply.Kind == fellow.KindNotRun {
+	if reply.Kind == peer.KindNotRun {
 		o.refusedCount.Inc()
 	}
 	reply.ID = pending.request.ID
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -16,8 +16,8 @@
 	"lovagedeck/pkg/admitter"
 	"lovagedeck/pkg/assigner"
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/leaf"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -53,8 +53,8 @@
 	maxRunning    int
 	running       int
 	serviceTime   time.Duration
-	replies       []fellow.Reply
-	release       fellow.ReleasedLeaf
+	replies       []peer.Reply
+	release       peer.ReleasedLeaf
 	isReached     bool
 }
 
@@ -70,12 +70,12 @@
 	h.owner = New(Config{
 		Self: self, DataCentre: "d", Now: func() time.Duration { return time.Since(startedAt) },
 		LeaseHeld: func(time.Duration) bool { h.mu.Lock(); defer h.mu.Unlock(); return h.holdsLease },
-		SendReply: func(_ tabulator.MemberID, _ string, reply fellow.Reply) {
+		SendReply: func(_ tabulator.MemberID, _ string, reply peer.Reply) {
 			h.mu.Lock()
 			h.replies = append(h.replies, reply)
 			h.mu.Unlock()
 		},
-		RequestRelease: func(tabulator.Member, uint64, assigner.LeafID) (fellow.ReleasedLeaf, bool) {
+		RequestRelease: func(tabulator.Member, uint64, assigner.LeafID) (peer.ReleasedLeaf, bool) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return h.release, h.isReached
@@ -135,7 +135,7 @@
 }
 
 func (h *harness) sendRequest(id uint64, remaining time.Duration) {
-	h.owner.OnRequests(requester, "", []fellow.Request{{ID: id, Leaf: "leaf", Service: "s", RemainingUs: remaining.Microseconds(), Caller: "c", Priority: 1}})
+	h.owner.OnRequests(requester, "", []peer.Request{{ID: id, Leaf: "leaf", Service: "s", RemainingUs: remaining.Microseconds(), Caller: "c", Priority: 1}})
 }
 
 func (h *harness) replyCounts() map[string]int {
@@ -144,7 +144,7 @@
 	counts := map[string]int{}
 	for _, reply := range h.replies {
 		key := reply.Reason
-		if reply.Kind == fellow.KindSuccess {
+		if reply.Kind == peer.KindSuccess {
 			key = "hit"
 		}
 		counts[key]++
@@ -165,7 +165,7 @@
 	h.mu.Unlock()
 }
 
-func (h *harness) setRelease(release fellow.ReleasedLeaf) {
+func (h *harness) setRelease(release peer.ReleasedLeaf) {
 	h.mu.Lock()
 	h.release, h.isReached = release, true
 	h.mu.Unlock()
@@ -191,9 +191,9 @@
 		time.Sleep(assigner.FenceTimeout() - 50*time.Millisecond)
 		h.sendRequest(1, time.Second)
 		time.Sleep(10 * time.Millisecond)
-		if h.read(&h.receivedCount) != 0 || h.replyCounts()[fellow.ReasonFenced] != 1 {
+		if h.read(&h.receivedCount) != 0 || h.replyCounts()[peer.ReasonFenced] != 1 {
 			t.Errorf("before the fence timeout: got %d requests at the leaf and replies %v, want none and one %s",
-				h.read(&h.receivedCount), h.replyCounts(), fellow.ReasonFenced)
+				h.read(&h.receivedCount), h.replyCounts(), peer.ReasonFenced)
 		}
 		time.Sleep(100 * time.Millisecond)
 		h.sendRequest(2, time.Second)
@@ -209,7 +209,7 @@
 		h := newHarness(t)
 		defer h.close()
 		h.apply(t, tabulator.Remove{Instance: "e1", Incarnation: 1, Reason: tabulator.RemovedExpired})
-		h.setRelease(fellow.ReleasedLeaf{Open: true, Running: 1, RunningUntil: time.Second, Limit: 2, Latency: 5 * time.Millisecond})
+		h.setRelease(peer.ReleasedLeaf{Open: true, Running: 1, RunningUntil: time.Second, Limit: 2, Latency: 5 * time.Millisecond})
 		h.apply(t, tabulator.Join{Member: tabulator.MemberFields{Instance: "e1", Incarnation: 1, DataCentre: "d", Via: "again"}})
 		time.Sleep(50 * time.Millisecond)
 		for id := range uint64(6) {
@@ -229,18 +229,18 @@
 		setUp  func(t *testing.T, h *harness)
 		reason string
 	}{
-		{"no lease", func(_ *testing.T, h *harness) { h.setLease(false) }, fellow.ReasonNoLease},
+		{"no lease", func(_ *testing.T, h *harness) { h.setLease(false) }, peer.ReasonNoLease},
 		{"data centre out of service", func(t *testing.T, h *harness) {
 			h.apply(t, tabulator.SetDataCentre{ChangeID: "out", Name: "d", State: tabulator.StateOut})
-		}, fellow.ReasonOutOfService},
-		{"leaf draining", func(_ *testing.T, h *harness) { h.setLeaf(true) }, fellow.ReasonOutOfService},
-		{"leaf removed from the list", func(_ *testing.T, h *harness) { h.owner.OnLeafList(nil) }, fellow.ReasonNotOwner},
+		}, peer.ReasonOutOfService},
+		{"leaf draining", func(_ *testing.T, h *harness) { h.setLeaf(true) }, peer.ReasonOutOfService},
+		{"leaf removed from the list", func(_ *testing.T, h *harness) { h.owner.OnLeafList(nil) }, peer.ReasonNotOwner},
 		{"leaf released", func(_ *testing.T, h *harness) {
-			h.owner.Release(fellow.ReleaseQuery{From: requester, Epoch: h.view.Epoch(), Leafs: []string{"leaf"}})
-		}, fellow.ReasonNotOwner},
+			h.owner.Release(peer.ReleaseQuery{From: requester, Epoch: h.view.Epoch(), Leafs: []string{"leaf"}})
+		}, peer.ReasonNotOwner},
 		{"instance not a member", func(t *testing.T, h *harness) {
 			h.apply(t, tabulator.Remove{Instance: "e1", Incarnation: 1, Reason: tabulator.RemovedExpired})
-		}, fellow.ReasonNotOwner},
+		}, peer.ReasonNotOwner},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -270,8 +270,8 @@
 		time.Sleep(50 * time.Millisecond)
 		h.setLease(false)
 		time.Sleep(10 * time.Second)
-		if counts := h.replyCounts(); h.read(&h.receivedCount) != 1 || counts["hit"] != 1 || counts[fellow.ReasonNoLease] != 1 {
-			t.Errorf("got %d requests at the leaf and replies %v, want one, one hit and one %s", h.read(&h.receivedCount), counts, fellow.ReasonNoLease)
+		if counts := h.replyCounts(); h.read(&h.receivedCount) != 1 || counts["hit"] != 1 || counts[peer.ReasonNoLease] != 1 {
+			t.Errorf("got %d requests at the leaf and replies %v, want one, one hit and one %s", h.read(&h.receivedCount), counts, peer.ReasonNoLease)
 		}
 	})
 }
@@ -302,7 +302,7 @@
 		time.Sleep(2 * assigner.FenceTimeout())
 		h.sendRequest(1, 2*time.Second)
 		time.Sleep(10 * time.Millisecond)
-		query := fellow.ReleaseQuery{From: requester, Epoch: h.view.Epoch() + 1, Leafs: []string{"leaf"}}
+		query := peer.ReleaseQuery{From: requester, Epoch: h.view.Epoch() + 1, Leafs: []string{"leaf"}}
 		released := h.owner.Release(query)[0]
 		if !released.Open || released.Running != 1 || released.RunningUntil < 1900*time.Millisecond {
 			t.Errorf("first release: got %+v, want an open leaf with 1 request running for at least 1.9s", released)
--- a/pkg/owner/ownership.go
+++ b/pkg/owner/ownership.go
@@ -11,7 +11,7 @@
 
 	"lovagedeck/pkg/assigner"
 	"lovagedeck/pkg/coordinator"
-	"lovagedeck/pkg/fellow"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -25,7 +25,7 @@
 		}
 		delete(o.ownedLeafs, id)
 		o.unclaimedReleases[id] = unclaimedRelease{released: owned.prepareRelease(), endedAt: o.config.Now()}
-		o.group.Go(func() { owned.endOwnership(fellow.ReasonNotOwner) })
+		o.group.Go(func() { owned.endOwnership(peer.ReasonNotOwner) })
 	}
 	for id, record := range o.records {
 		if o.ownedLeafs[id] != nil || !o.owns(record) || o.assignment.Epoch() <= o.releasedInEpoch[id] {
@@ -64,7 +64,7 @@
 	o.group.Go(func() { owned.requestRelease(previousOwner, ok, epoch) })
 }
 
-func (o *Owner) release(id assigner.LeafID, query fellow.ReleaseQuery) fellow.ReleasedLeaf {
+func (o *Owner) release(id assigner.LeafID, query peer.ReleaseQuery) peer.ReleasedLeaf {
 	o.mu.Lock()
 	owned := o.ownedLeafs[id]
 	unclaimed, isUnclaimed := o.unclaimedReleases[id]
@@ -75,18 +75,18 @@
 	switch {
 	case owned != nil:
 		released := owned.prepareRelease()
-		owned.endOwnership(fellow.ReasonNotOwner)
+		owned.endOwnership(peer.ReasonNotOwner)
 		o.config.RecordEvent("leaf-released", string(id), "handed over to "+query.From.String())
 		return released
 	case isUnclaimed:
 		o.config.RecordEvent("leaf-released", string(id), "handed over to "+query.From.String())
 		return unclaimed.releaseAt(o.config.Now())
 	}
-	return fellow.ReleasedLeaf{Leaf: string(id)}
+	return peer.ReleasedLeaf{Leaf: string(id)}
 }
 
 // releaseAt returns the release with its remaining run time reduced by the time that has passed since the ownership ended.
-func (u unclaimedRelease) releaseAt(now time.Duration) fellow.ReleasedLeaf {
+func (u unclaimedRelease) releaseAt(now time.Duration) peer.ReleasedLeaf {
 	released := u.released
 	released.RunningUntil = max(0, released.RunningUntil-(now-u.endedAt))
 	return released
@@ -97,12 +97,12 @@
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	if !o.config.LeaseHeld(o.config.Now()) {
-		return errors.New(fellow.ReasonNoLease)
+		return errors.New(peer.ReasonNoLease)
 	}
 	_, isAllowed := o.view.AcceptsRequests(tabulator.Key{Service: record.Service, DataCentre: record.DataCentre})
 	current, isListed := o.records[record.ID]
 	if !isAllowed || !isListed || current.IsDraining {
-		return errors.New(fellow.ReasonOutOfService)
+		return errors.New(peer.ReasonOutOfService)
 	}
 	return nil
 }
--- /dev/null
+++ b/pkg/peer/doc.go
@@ -0,0 +1,2 @@
+// Package peer exchanges requests, cancellations and replies with other entry instances, batched over net/rpc.
+package peer
--- a/pkg/fellow/link.go
+++ b/pkg/peer/link.go
@@ -2,7 +2,7 @@
 // calls to it are in progress. Batches therefore grow with the load, and a
 // single request is sent at once.
 
-package fellow
+package peer
 
 import (
 	"net/rpc"
@@ -58,7 +58,7 @@
 
 // NewLink returns a link to a peer. The peer sends its replies to self at selfAddress.
 func NewLink(l *linker.Linker, self tabulator.MemberID, selfAddress string, peer tabulator.Member, onUndelivered UndeliveredFunc) *Link {
-	return newLink(l, self, selfAddress, peer.ID(), peer.FellowAddress(), onUndelivered)
+	return newLink(l, self, selfAddress, peer.ID(), peer.PeerAddress(), onUndelivered)
 }
 
 // NewReplyLink returns a link to the sender of a batch, which takes replies at peerAddress.
--- a/pkg/fellow/fellow_test.go
+++ b/pkg/peer/peer_test.go
@@ -1,4 +1,4 @@
-package fellow
+package peer
 
 import (
 	"strings"
--- a/pkg/fellow/wire.go
+++ b/pkg/peer/wire.go
@@ -3,7 +3,7 @@
 // is never reused. A later incarnation of the receiver therefore rejects it,
 // and a duplicate is detected.
 
-package fellow
+package peer
 
 import (
 	"time"
--- a/pkg/runner/handler.go
+++ b/pkg/runner/handler.go
@@ -4,8 +4,8 @@
 	"strconv"
 
 	"lovagedeck/pkg/controller"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/operator"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/replicator"
 	"lovagedeck/pkg/tabulator"
 	"lovagedeck/pkg/timeliner"
@@ -13,7 +13,7 @@
 )
 
 // OnRequests handles requests to leafs that this instance owns; address is where the sender expects the replies.
-func (i *Instance) OnRequests(from tabulator.MemberID, address string, requests []fellow.Request) {
+func (i *Instance) OnRequests(from tabulator.MemberID, address string, requests []peer.Request) {
 	i.owner.OnRequests(from, address, requests)
 }
 
@@ -21,17 +21,17 @@
 func (i *Instance) OnCancels(from tabulator.MemberID, ids []uint64) { i.owner.OnCancels(from, ids) }
 
 // OnReplies handles replies to requests of this instance.
-func (i *Instance) OnReplies(from tabulator.MemberID, replies []fellow.Reply) {
+func (i *Instance) OnReplies(from tabulator.MemberID, replies []peer.Reply) {
 	i.dispatcher.OnReplies(from, replies)
 }
 
 // Holdings returns the index versions and shards that the given leafs of this instance hold, by leaf.
-func (i *Instance) Holdings(leafs []string) map[string][]fellow.Holding {
+func (i *Instance) Holdings(leafs []string) map[string][]peer.Holding {
 	return i.owner.Holdings(leafs)
 }
 
 // Release ends the ownership of leafs and returns the state that their new owner needs.
-func (i *Instance) Release(query fellow.ReleaseQuery) []fellow.ReleasedLeaf {
+func (i *Instance) Release(query peer.ReleaseQuery) []peer.ReleasedLeaf {
 	return i.owner.Release(query)
 }
 
@@ -46,7 +46,7 @@
 	status := operator.Status{
 		Instance: i.self.Instance, Incarnation: strconv.FormatUint(i.self.Incarnation, 16), DataCentre: i.settings.DataCentre,
 		IsReady: i.Ready(), Revision: view.Revision(), Epoch: view.Epoch(), OwnedLeafs: i.owner.LeafCount(),
-		OpenQueries: i.dispatcher.OpenQueries(), DataCentres: view.DataCentres(), Conditions: map[string]fellow.Condition{},
+		OpenQueries: i.dispatcher.OpenQueries(), DataCentres: view.DataCentres(), Conditions: map[string]peer.Condition{},
 	}
 	for _, member := range view.Members() {
 		status.Members = append(status.Members, member.Fields())
--- a/pkg/runner/mailbox.go
+++ b/pkg/runner/mailbox.go
@@ -5,7 +5,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"lovagedeck/pkg/fellow"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -13,30 +13,30 @@
 // in one goroutine.
 type mailbox struct {
 	self      tabulator.MemberID
-	handler   fellow.Handler
+	handler   peer.Handler
 	mu        sync.Mutex
 	itemAdded *sync.Cond
-	requests  []fellow.Request
+	requests  []peer.Request
 	cancels   []uint64
-	replies   []fellow.Reply
+	replies   []peer.Reply
 	isClosed  bool
 	worker    conc.WaitGroup
 }
 
-func newMailbox(self tabulator.MemberID, handler fellow.Handler) *mailbox {
+func newMailbox(self tabulator.MemberID, handler peer.Handler) *mailbox {
 	m := &mailbox{self: self, handler: handler}
 	m.itemAdded = sync.NewCond(&m.mu)
 	m.worker.Go(m.run)
 	return m
 }
 
-func (m *mailbox) queueRequest(request fellow.Request) {
+func (m *mailbox) queueRequest(request peer.Request) {
 	m.enqueue(func() { m.requests = append(m.requests, request) })
 }
 
 func (m *mailbox) queueCancel(id uint64) { m.enqueue(func() { m.cancels = append(m.cancels, id) }) }
 
-func (m *mailbox) queueReply(reply fellow.Reply) {
+func (m *mailbox) queueReply(reply peer.Reply) {
 	m.enqueue(func() { m.replies = append(m.replies, reply) })
 }
 
--- a/pkg/runner/start.go
+++ b/pkg/runner/start.go
@@ -11,12 +11,12 @@
 	"lovagedeck/pkg/caller"
 	"lovagedeck/pkg/controller"
 	"lovagedeck/pkg/dispatcher"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/journaler"
 	"lovagedeck/pkg/linker"
 	"lovagedeck/pkg/lister"
 	"lovagedeck/pkg/operator"
 	"lovagedeck/pkg/owner"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/replicator"
 	"lovagedeck/pkg/tabulator"
 )
@@ -51,9 +51,9 @@
 }
 
 func (i *Instance) newLinker(certificates *certificateFiles) *linker.Linker {
-	options := []linker.Option{linker.WithRejectionHandler(func(peer string, err error) {
-		i.timeline.Add("connection-refused", peer, err.Error())
-		i.options.log.Info("linker: rejected a connection", "peer", peer, "error", err.Error())
+	options := []linker.Option{linker.WithRejectionHandler(func(remoteAddress string, err error) {
+		i.timeline.Add("connection-refused", remoteAddress, err.Error())
+		i.options.log.Info("linker: rejected a connection", "peer", remoteAddress, "error", err.Error())
 	})}
 	if i.options.dialPeer != nil {
 		options = append(options, linker.WithDial(i.options.dialPeer))
@@ -119,7 +119,7 @@
 	if err != nil {
 		return errors.Wrap(err, "start: listen/fellow")
 	}
-	receivers := map[string]any{"Fellow": fellow.NewService(i.self, i)}
+	receivers := map[string]any{"Fellow": peer.NewService(i.self, i)}
 	if i.controlServer != nil {
 		receivers["Control"] = controller.NewService(i.controlServer)
 	}
--- a/pkg/runner/transport.go
+++ b/pkg/runner/transport.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 
 	"lovagedeck/pkg/assigner"
-	"lovagedeck/pkg/fellow"
 	"lovagedeck/pkg/linker"
+	"lovagedeck/pkg/peer"
 	"lovagedeck/pkg/tabulator"
 )
 
@@ -22,18 +22,18 @@
 	self          tabulator.MemberID
 	selfAddress   string
 	mailbox       *mailbox
-	onUndelivered fellow.UndeliveredFunc
+	onUndelivered peer.UndeliveredFunc
 	mu            sync.Mutex
-	links         map[tabulator.MemberID]*fellow.Link
+	links         map[tabulator.MemberID]*peer.Link
 	isClosed      bool
 }
 
 func newTransport(peerLinker *linker.Linker, self tabulator.MemberID, selfAddress string) *transport {
-	return &transport{linker: peerLinker, self: self, selfAddress: selfAddress, links: map[tabulator.MemberID]*fellow.Link{}}
+	return &transport{linker: peerLinker, self: self, selfAddress: selfAddress, links: map[tabulator.MemberID]*peer.Link{}}
 }
 
 // SendRequest queues a request to the owner of a leaf.
-func (t *transport) SendRequest(owner tabulator.Member, request fellow.Request) {
+func (t *transport) SendRequest(owner tabulator.Member, request peer.Request) {
 	if owner.ID() == t.self {
 		t.mailbox.queueRequest(request)
 		return
@@ -56,7 +56,7 @@
 }
 
 // SendReply queues a reply to the instance that sent the request.
-func (t *transport) SendReply(to tabulator.MemberID, address string, reply fellow.Reply) {
+func (t *transport) SendReply(to tabulator.MemberID, address string, reply peer.Reply) {
 	if to == t.self {
 		t.mailbox.queueReply(reply)
 		return
@@ -76,7 +76,7 @@
 // connection of this instance.
 func (t *transport) IsCutOff() bool {
 	t.mu.Lock()
-	links := make([]*fellow.Link, 0, len(t.links))
+	links := make([]*peer.Link, 0, len(t.links))
 	for _, link := range t.links {
 		links = append(links, link)
 	}
@@ -91,29 +91,29 @@
 }
 
 // FetchHoldings returns the index versions and shards that the given leafs of an owner hold, by leaf.
-func (t *transport) FetchHoldings(owner tabulator.Member, leafs []string) (map[string][]fellow.Holding, error) {
+func (t *transport) FetchHoldings(owner tabulator.Member, leafs []string) (map[string][]peer.Holding, error) {
 	if owner.ID() == t.self {
 		return t.mailbox.handler.Holdings(leafs), nil
 	}
-	var reply fellow.HoldingsReply
-	err := t.linkToMember(owner).Call("Holdings", fellow.HoldingsQuery{Leafs: leafs}, &reply)
+	var reply peer.HoldingsReply
+	err := t.linkToMember(owner).Call("Holdings", peer.HoldingsQuery{Leafs: leafs}, &reply)
 	return reply.Holdings, err
 }
 
 // RequestRelease requests a leaf from its previous owner; it returns false if the owner did not answer.
-func (t *transport) RequestRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (fellow.ReleasedLeaf, bool) {
-	query := fellow.ReleaseQuery{From: t.self, To: from.ID(), Epoch: epoch, Leafs: []string{string(id)}}
-	var reply fellow.ReleaseReply
+func (t *transport) RequestRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (peer.ReleasedLeaf, bool) {
+	query := peer.ReleaseQuery{From: t.self, To: from.ID(), Epoch: epoch, Leafs: []string{string(id)}}
+	var reply peer.ReleaseReply
 	if err := t.linkToMember(from).Call("Release", query, &reply); err != nil || len(reply.Leafs) == 0 {
-		return fellow.ReleasedLeaf{}, false
+		return peer.ReleasedLeaf{}, false
 	}
 	return reply.Leafs[0], true
 }
 
 // ForwardTicket forwards a request to the instance that granted its ticket and returns the answer.
 func (t *transport) ForwardTicket(to tabulator.Member, ticket string, request []byte) ([]byte, error) {
-	var reply fellow.TicketReply
-	query := fellow.TicketQuery{To: to.ID(), Ticket: ticket, Request: request}
+	var reply peer.TicketReply
+	query := peer.TicketQuery{To: to.ID(), Ticket: ticket, Request: request}
 	if err := t.linkToMember(to).CallWithTimeout(ticketTimeout, "RunTicket", query, &reply); err != nil {
 		return nil, errors.Wrap(err, "pass the ticket on")
 	}
@@ -123,7 +123,7 @@
 // closeStaleLinks closes the links to incarnations that are no longer members of the cluster.
 func (t *transport) closeStaleLinks(view *tabulator.View) {
 	t.mu.Lock()
-	var stale []*fellow.Link
+	var stale []*peer.Link
 	for id, link := range t.links {
 		if member, ok := view.Member(id.Instance); !ok || member.ID() != id {
 			stale = append(stale, link)
@@ -140,24 +140,24 @@
 	t.mu.Lock()
 	t.isClosed = true
 	links := t.links
-	t.links = map[tabulator.MemberID]*fellow.Link{}
+	t.links = map[tabulator.MemberID]*peer.Link{}
 	t.mu.Unlock()
 	for _, link := range links {
 		link.Close()
 	}
 }
 
-func (t *transport) linkToMember(member tabulator.Member) *fellow.Link {
-	return t.linkTo(member.ID(), member.FellowAddress())
+func (t *transport) linkToMember(member tabulator.Member) *peer.Link {
+	return t.linkTo(member.ID(), member.PeerAddress())
 }
 
-func (t *transport) linkTo(to tabulator.MemberID, address string) *fellow.Link {
+func (t *transport) linkTo(to tabulator.MemberID, address string) *peer.Link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if link := t.links[to]; link != nil {
 		return link
 	}
-	link := fellow.NewReplyLink(t.linker, t.self, t.selfAddress, to, address, t.onUndelivered)
+	link := peer.NewReplyLink(t.linker, t.self, t.selfAddress, to, address, t.onUndelivered)
 	if t.isClosed {
 		go link.Close()
 		return link
--- a/pkg/steward/entry.go
+++ b/pkg/steward/entry.go
@@ -166,7 +166,7 @@
 	var peers []string
 	for _, member := range view.Members() {
 		if member.DataCentre() == e.settings.DataCentre && member.Instance() != e.settings.Instance {
-			peers = append(peers, member.FellowAddress())
+			peers = append(peers, member.PeerAddress())
 		}
 	}
 	e.gossiper.SetPeers(peers)
--- a/pkg/tabulator/member.go
+++ b/pkg/tabulator/member.go
@@ -53,8 +53,8 @@
 // DataCentre returns the data centre of the instance.
 func (m Member) DataCentre() string { return m.fields.DataCentre }
 
-// FellowAddress returns the address at which the instance accepts calls from other instances.
-func (m Member) FellowAddress() string { return m.fields.FellowAddress }
+// PeerAddress returns the address at which the instance accepts calls from other instances.
+func (m Member) PeerAddress() string { return m.fields.FellowAddress }
 
 // OperatorAddress returns the address of the administration API.
 func (m Member) OperatorAddress() string { return m.fields.OperatorAddress }
