--- a/pkg/commander/verb_control.go
+++ b/pkg/commander/verb_control.go
@@ -96,7 +96,7 @@
 }
 
 func configureControl(client *operator.Client, action controller.ConfigAction, node string) error {
-	change, err := client.Configure(operator.ConfigureRequest{Action: action, Node: node})
+	change, err := client.Configure(operator.ConfigureBody{Action: action, Node: node})
 	if err != nil {
 		return err
 	}
--- a/pkg/operator/client.go
+++ b/pkg/operator/client.go
@@ -127,7 +127,7 @@
 }
 
 // Configure adds, promotes or removes one control node and returns the outcome.
-func (c *Client) Configure(body ConfigureRequest) (ChangeResult, error) {
+func (c *Client) Configure(body ConfigureBody) (ChangeResult, error) {
 	return c.postChange("/control", body)
 }
 
--- a/pkg/operator/server.go
+++ b/pkg/operator/server.go
@@ -218,7 +218,7 @@
 }
 
 func (s *Server) onConfigure(c fiber.Ctx) error {
-	var body ConfigureRequest
+	var body ConfigureBody
 	if err := json.Unmarshal(c.Body(), &body); err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, "decode change: "+err.Error())
 	}
--- a/pkg/operator/wire.go
+++ b/pkg/operator/wire.go
@@ -129,8 +129,8 @@
 		Entries []tabulator.HistoryEntry `json:"entries"`
 	}
 
-	// ConfigureRequest is the request body to add, promote or remove one control node.
-	ConfigureRequest struct {
+	// ConfigureBody is the request body to add, promote or remove one control node. Decoding errors in 400 answers contain its name.
+	ConfigureBody struct {
 		Action controller.ConfigAction `json:"action"`
 		Node   string                  `json:"node"`
 	}
