--- a/pkg/gatekeeper/slice_test.go
+++ b/pkg/gatekeeper/slice_test.go
@@ -260,7 +260,7 @@
 	g := newGathererCluster(t, shards...)
 	g.answerWithServiceNumber()
 	for i, leaf := range g.leafs {
-		// One shard in five is slow. If more were late at a time, the query would attribute that to load and not hedge.
+		// One shard in five is slow. If more than half were late, the cause would be taken to be load, and none hedged.
 		if i/2%5 == 0 {
 			leaf.setHandler(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		}
@@ -359,8 +359,8 @@
 	}
 }
 
-// A gathering instance is lost. The instance that detects it must notify its peers, so that they stop delegating to it.
-// Observations of unknown instances are ignored.
+// A gathering instance is lost, for example because its data centre is cut off. The instance that detects it must notify its
+// peers, so that they stop delegating to it. Observations of unknown instances are ignored.
 func TestUnresponsiveGathererIsReportedToPeers(t *testing.T) {
 	shards := shardNames(40)
 	g := newGathererCluster(t, shards...)
--- a/pkg/gossiper/wire.go
+++ b/pkg/gossiper/wire.go
@@ -1,5 +1,5 @@
 // A datagram holds observations, each encoded as a MessagePack array, and a
-// message authentication code:
+// message authentication code computed with the secret of the cluster:
 //
 //	[["i-7f3a91c2",4.2,0,true,700,15,false], ...]   leaf, slowness, failure rate, is slow, slow for ms, age ms, is gone
 
--- a/pkg/placer/choice.go
+++ b/pkg/placer/choice.go
@@ -15,7 +15,8 @@
 	// time of another request and one of the few attempts. For some seconds after a failure the result exceeds the cost of
 	// a remote data centre plus that of a new connection.
 	failureWeight = 8.0
-	// nonIdempotentFailureWeight is higher because a non-idempotent request is not retried, and its failure reaches the caller.
+	// nonIdempotentFailureWeight is higher because a non-idempotent request is not retried once a leaf may have run it, so that
+	// its failure reaches the caller.
 	nonIdempotentFailureWeight = 40.0
 	// remoteCost prefers a leaf of the local data centre while it is expected to answer within twice the typical latency:
 	// traffic between data centres is billed, and a request to a pausing leaf is hedged.
--- a/pkg/placer/observation.go
+++ b/pkg/placer/observation.go
@@ -1,7 +1,7 @@
 // Instances share observations of leafs. Every leaf pauses briefly from time to
 // time, and the pause is over before the observation arrives elsewhere, so the
-// slowness in an observation is applied only if the leaf has been slow for longer
-// than a pause lasts.
+// slowness of a leaf that is observed to be slow is applied only if it has been
+// slow for longer than a pause lasts.
 
 package placer
 
@@ -18,7 +18,8 @@
 	// replacedEjection is how long a leaf is ejected after another instance observed that it was replaced: the list of leafs
 	// drops it within that time.
 	replacedEjection = 5 * time.Second
-	// unhealthyFailureRate is the failure rate from which a leaf counts as unhealthy; a single failure exceeds it.
+	// unhealthyFailureRate is the failure rate from which a leaf counts as unhealthy and is reported to other instances. A
+	// single failure exceeds it, since it raises the rate to at least failureRateGain, 0.4.
 	unhealthyFailureRate = 0.2
 )
 
--- a/pkg/router/route.go
+++ b/pkg/router/route.go
@@ -25,7 +25,7 @@
 		Idempotent bool
 		// Timeout is the longest time that a request may wait for its answer.
 		Timeout time.Duration
-		// Objective is the latency objective of an answer.
+		// Objective is the latency objective: an answer within this time has its full value.
 		Objective time.Duration
 		// Priority is the rank of the route. 0 is the highest priority.
 		Priority int
@@ -98,7 +98,7 @@
 // Timeout returns the longest time that a request may wait for its answer.
 func (r *Route) Timeout() time.Duration { return r.fields.Timeout }
 
-// Objective returns the latency objective of an answer.
+// Objective returns the latency objective, the time within which an answer has its full value.
 func (r *Route) Objective() time.Duration { return r.fields.Objective }
 
 // Priority returns the rank of the route. 0 is the highest priority.
--- a/pkg/slicer/plan_test.go
+++ b/pkg/slicer/plan_test.go
@@ -22,6 +22,7 @@
 	return members, list
 }
 
+// largeFleet is the number of instances by data centre in the large deployment.
 var largeFleet = map[string]int{"a": 56, "b": 52, "c": 68, "d": 65, "e": 54}
 
 func dataCentreOf(instance string) string { return instance[len("front-") : len("front-")+1] }
