--- a/pkg/admitter/admitter.go
+++ b/pkg/admitter/admitter.go
@@ -80,7 +80,8 @@
 	// Restarted means that the leaf answered and has restarted since its previous answer.
 	Restarted struct{}
 
-	// Cancelled means that the request was cancelled or not run, which says nothing about the leaf's capacity.
+	// Cancelled means that the leaf has stopped the request, or answered without running it, or never received it. Its slot is
+	// free at once, and the concurrency limit does not change.
 	Cancelled struct{}
 
 	// TimedOut means that the deadline passed before an answer arrived.
--- a/pkg/controller/failures_test.go
+++ b/pkg/controller/failures_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// The replaced voter starts with an empty disk. Stopping the leader right afterwards loses changes if the new voter was promoted
-// before it held the log.
+// The replaced voter starts with an empty disk. Stopping the leader right afterwards could lose changes if the new voter was
+// promoted before it held the log.
 func TestChangesSurviveLeaderLossAfterVoterReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTestTier(t, 3)
--- a/pkg/dispatcher/active_query.go
+++ b/pkg/dispatcher/active_query.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// restart continues a query with a plan for a newer index version, or lets it end if there is none.
+// restart starts a query again with a plan for a newer index version, or continues it with its current plan if there is none.
 func (d *Dispatcher) restart(active *activeQuery) {
 	now := d.config.Now()
 	plan, ok := d.catalogue.PlanQuery(active.request.Services, d.view)
--- a/pkg/lister/roster.go
+++ b/pkg/lister/roster.go
@@ -33,8 +33,8 @@
 		ColdFor    time.Duration
 	}
 
-	// Roster is the list of leafs, or the changes to it since an earlier roster. The warm-up times
-	// in it hold at Age before its receipt. A RosterStore computes them when it returns a roster and leaves Age at 0.
+	// Roster is the list of leafs, or the changes to it since an earlier roster. Age is how old its warm-up times are when it is
+	// handed over; it is 0 in a roster from a RosterStore, which computes the warm-up times anew.
 	Roster struct {
 		Stamp RosterStamp
 		Age   time.Duration
--- a/pkg/replicator/replication.go
+++ b/pkg/replicator/replication.go
@@ -9,7 +9,8 @@
 	c.output.ProposalResults = append(c.output.ProposalResults, ProposalResult{Tag: tag, Index: index, Term: c.term})
 }
 
-// proposeConfig appends a config that changes at most one voter and promotes only a learner that has all committed entries.
+// proposeConfig appends a config that changes at most one voter and promotes only a learner that has all committed entries. Changes
+// are made one at a time: a config is refused until the previous one is committed.
 func (c *Core) proposeConfig(in ProposeConfig) {
 	if reason := c.configRefusal(in.Config); reason != "" {
 		c.output.ProposalResults = append(c.output.ProposalResults, ProposalResult{Tag: in.Tag, RefusalReason: reason})
