--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -40,7 +40,8 @@
 	return client
 }
 
-// Query sends a query and returns its answer, or an error if the instance rejected the request or sent no valid response.
+// Query sends a query and returns its answer, or an error if the instance rejected the request as invalid or sent no valid
+// response. A query that the instance refused to run is not an error: the outcome of its answer says so.
 func (c *Client) Query(query Query) (Answer, error) {
 	var answer Answer
 	body, err := json.Marshal(query)
--- a/pkg/emulator/shapes.go
+++ b/pkg/emulator/shapes.go
@@ -120,8 +120,8 @@
 	return rows
 }
 
-// ServicesForShards returns services whose shard counts add up to shards, or to as much of it as the services allow without exceeding it.
-// An odd number is first made even with services that have an odd shard count.
+// ServicesForShards returns services whose shard counts add up to shards, or to a lower number if the services do not fit
+// exactly. Services with an odd shard count are used only if shards is odd, and are then chosen first.
 func (s Shape) ServicesForShards(shards int) []string {
 	var services []string
 	for pass := range 2 {
--- a/pkg/experimenter/checker.go
+++ b/pkg/experimenter/checker.go
@@ -15,7 +15,8 @@
 	ViolationOtherQuery = "crossed-answer"
 	// ViolationOtherVersion counts parts from a different index version than their answer.
 	ViolationOtherVersion = "snapshot"
-	// ViolationCoverage counts answers whose reported coverage does not match their parts.
+	// ViolationCoverage counts answers whose reported coverage or outcome does not match their parts or the shard count of
+	// their services, and parts that are unreadable or repeated.
 	ViolationCoverage = "coverage"
 	// ViolationFalseNotRun counts queries that were refused as not run although a leaf started them.
 	ViolationFalseNotRun = "false-not-run"
--- a/pkg/explainer/explainer.go
+++ b/pkg/explainer/explainer.go
@@ -151,8 +151,9 @@
 	return text + l.failedAttempts()
 }
 
-// commonCause returns a clause with the most frequent cause of the failed attempts and the leafs that it affected. A missing
-// shard is logged as "s2(i-1:silent, front-b-3: i-2:silent)" if another instance sent the second request.
+// commonCause returns a clause with the most frequent cause of the failed attempts for the missing shards and the leafs that
+// it affected. A missing shard is logged as "s2(i-1:silent, front-b-3: i-2:silent)" if another instance sent the second
+// request.
 func commonCause(missing []string) string {
 	leafsByCause, mostCommon := map[string][]string{}, ""
 	for _, shard := range missing {
--- a/pkg/operator/wire.go
+++ b/pkg/operator/wire.go
@@ -78,9 +78,9 @@
 		// MatchIndexes holds the index of the last log entry that each member is known to have stored.
 		MatchIndexes map[string]uint64 `json:"match,omitempty"`
 		Revision     uint64            `json:"revision"`
-		// Sessions is the number of instances that hold a lease from this control instance.
+		// Sessions is the number of leases that are held through this control instance.
 		Sessions int `json:"sessions"`
-		// Error is the error for which this control instance stopped, or empty.
+		// Error is the error after which this control instance stopped acknowledging, or empty.
 		Error string `json:"failed,omitempty"`
 	}
 
--- a/pkg/runner/transport.go
+++ b/pkg/runner/transport.go
@@ -100,7 +100,7 @@
 	return reply.Holdings, err
 }
 
-// RequestRelease requests a leaf from its previous owner; it returns false if the owner did not answer.
+// RequestRelease requests a leaf from its previous owner; it returns false if the owner did not answer or released nothing.
 func (t *transport) RequestRelease(from tabulator.Member, epoch uint64, id assigner.LeafID) (peer.ReleasedLeaf, bool) {
 	query := peer.ReleaseQuery{From: t.self, To: from.ID(), Epoch: epoch, Leafs: []string{string(id)}}
 	var reply peer.ReleaseReply
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -84,7 +84,8 @@
 }
 
 // checkExecution checks that a leaf executes only requests that a caller sent, unchanged, at most once where that is
-// required, and not after the leaf started draining or its data centre was taken out of service.
+// required, and none later than drainLimit after the leaf started draining or outOfServiceLimit after its data centre was
+// taken out of service.
 func (c *checker) checkExecution(l *leaf, id, method, target string, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -116,7 +116,7 @@
 }
 
 // forward copies bytes from source to destination until either fails. While the mode is modeBlock or blockingMode, it keeps
-// what it has read, and forwards it when the mode changes, as the network does after a short partition.
+// what it has read, so that bytes sent during a partition arrive after it has healed.
 func (p *proxy) forward(destination io.WriteCloser, source io.ReadCloser, blockingMode proxyMode) {
 	defer func() { _ = destination.Close() }()
 	defer func() { _ = source.Close() }()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -20,7 +20,7 @@
 const (
 	// settleTime is the time without faults before the final checks.
 	settleTime = 5 * time.Second
-	// catchUpTime is the time that a control instance may take to catch up after it lost its disk.
+	// catchUpTime, plus settleTime, is how long a control instance counts as lost after its disk was wiped.
 	catchUpTime = 4 * time.Second
 	// startTimeout limits the first start of a deployment on a busy machine.
 	startTimeout = 30 * time.Second
